--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/RenewalRounds.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ConcurrentRenewals.java
@@ -11,27 +11,27 @@
  * renewal waited for the one that hangs, the row would be older by its time-out, and a crash would
  * cost the more. So a round that reads for long is left alone, and another one reads beside it.
  */
-final class RenewalRounds {
+final class ConcurrentRenewals {
 
   private final Timers timers;
-  private final long hangingMs;
-  private Round newest;
-  private Round writing;
-  private long writtenMs = Long.MIN_VALUE;
+  private final long stalledMs;
+  private Renewal newest;
+  private Renewal writing;
+  private long lastWriteMs = Long.MIN_VALUE;
 
-  RenewalRounds(Timers timers, long hangingMs) {
+  ConcurrentRenewals(Timers timers, long stalledMs) {
     this.timers = timers;
-    this.hangingMs = hangingMs;
+    this.stalledMs = stalledMs;
   }
 
   /** One renewal, from its first read to its last write. */
-  static final class Round {
+  static final class Renewal {
     private final CompletableFuture<Boolean> result = new CompletableFuture<>();
-    private final AtomicBoolean begun = new AtomicBoolean();
+    private final AtomicBoolean started = new AtomicBoolean();
     private long readingSinceMs;
     private boolean reading = true;
 
-    private Round(long nowMs) {
+    private Renewal(long nowMs) {
       this.readingSinceMs = nowMs;
     }
 
@@ -41,56 +41,56 @@
     }
 
     /** True for the first caller, which carries the round out. */
-    boolean begin() {
-      return begun.compareAndSet(false, true);
+    boolean tryStart() {
+      return started.compareAndSet(false, true);
     }
   }
 
   /** Gives the round that whoever needs a renewal now waits for: one under way, or a new one. */
-  synchronized Round join() {
+  synchronized Renewal join() {
     if (writing != null) {
       return writing;
     }
-    if (newest == null || isHanging(newest)) {
-      newest = new Round(timers.nowMs());
+    if (newest == null || isStalled(newest)) {
+      newest = new Renewal(timers.nowMs());
     }
     return newest;
   }
 
-  private boolean isHanging(Round round) {
-    return round.reading && timers.nowMs() - round.readingSinceMs > hangingMs;
+  private boolean isStalled(Renewal renewal) {
+    return renewal.reading && timers.nowMs() - renewal.readingSinceMs > stalledMs;
   }
 
   /** Notes that a round begins to read. */
-  synchronized void onReading(Round round) {
-    round.reading = true;
-    round.readingSinceMs = timers.nowMs();
+  synchronized void onReadStarted(Renewal renewal) {
+    renewal.reading = true;
+    renewal.readingSinceMs = timers.nowMs();
   }
 
   /** Says whether a round that has read may write: no other does, or has since it began to read. */
-  synchronized boolean tryWrite(Round round) {
-    round.reading = false;
-    if (writing != null || round.readingSinceMs < writtenMs) {
+  synchronized boolean tryStartWrite(Renewal renewal) {
+    renewal.reading = false;
+    if (writing != null || renewal.readingSinceMs < lastWriteMs) {
       return false;
     }
-    writing = round;
+    writing = renewal;
     return true;
   }
 
   /** Notes that a round's write, or its read, has ended. */
-  synchronized void onWritten(Round round, boolean written) {
-    round.reading = false;
-    if (writing == round) {
+  synchronized void onAttemptEnded(Renewal renewal, boolean written) {
+    renewal.reading = false;
+    if (writing == renewal) {
       writing = null;
-      writtenMs = written ? timers.nowMs() : writtenMs;
+      lastWriteMs = written ? timers.nowMs() : lastWriteMs;
     }
   }
 
   /** Ends a round. */
-  void end(Round round, boolean renewed) {
+  void end(Renewal renewal, boolean renewed) {
     synchronized (this) {
-      newest = newest == round ? null : newest;
+      newest = newest == renewal ? null : newest;
     }
-    round.result.complete(renewed);
+    renewal.result.complete(renewed);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/DemandShares.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/DemandSharePolicy.java
@@ -14,33 +14,34 @@
  * refuses a request that all of them together could serve. When an equal share would not cover one
  * usual request, nothing is held ahead of need, so that the next request finds all of it.
  */
-public final class DemandShares implements SharePolicy {
+public final class DemandSharePolicy implements SharePolicy {
 
   /** Share that stays in the table at least. */
-  private static final double LEAST_KEPT_BACK = 0.08;
+  private static final double MIN_UNASSIGNED_FRACTION = 0.08;
 
   /** Least part of the shares that is equal, so that new demand meets some tokens. */
-  private static final double LEAST_EQUAL_PART = 0.25;
+  private static final double MIN_EQUAL_FRACTION = 0.25;
 
   /** Demand remembers the requests of about so many seconds, counted by its peaks. */
-  private static final double REMEMBERED_S = 5;
+  private static final double DEMAND_MEMORY_S = 5;
 
   /** Remembered requests of an instance at which its demand counts as much as an equal share. */
-  private static final double TELLING_REQUESTS = 4;
+  private static final double HALF_WEIGHT_REQUESTS = 4;
 
   @Override
-  public long holdingTokens(Situation situation) {
-    if (situation.leftTokens() < situation.instanceCount() * situation.typicalTokens()) {
+  public long targetTokens(Input input) {
+    if (input.remainingTokens() < input.instanceCount() * input.typicalTokens()) {
       return 0;
     }
-    double equal = 1.0 / Math.max(1, situation.instanceCount());
+    double equal = 1.0 / Math.max(1, input.instanceCount());
     double byDemand =
-        situation.allDemandTokensPerS() <= 0
+        input.allDemandTokensPerS() <= 0
             ? equal
-            : situation.ownDemandTokensPerS() / (double) situation.allDemandTokensPerS();
-    double equalPart = equalPart(situation);
-    double share = equalPart * equal + (1 - equalPart) * byDemand;
-    return Math.round(Math.max(0, situation.leftTokens()) * (1 - keptBack(situation)) * share);
+            : input.ownDemandTokensPerS() / (double) input.allDemandTokensPerS();
+    double equalFraction = equalFraction(input);
+    double share = equalFraction * equal + (1 - equalFraction) * byDemand;
+    return Math.round(
+        Math.max(0, input.remainingTokens()) * (1 - unassignedFraction(input)) * share);
   }
 
   /**
@@ -50,18 +51,16 @@
    * follow those that happened to be asked last, and the next request comes to another one, which
    * holds too little. The fewer requests an instance can remember, the less its demand tells.
    */
-  private static double equalPart(Situation situation) {
+  private static double equalFraction(Input input) {
     double requestsPerS =
-        situation.allDemandTokensPerS()
-            / (double) situation.typicalTokens()
-            / situation.instanceCount();
-    double remembered = requestsPerS * REMEMBERED_S;
-    return Math.max(LEAST_EQUAL_PART, TELLING_REQUESTS / (TELLING_REQUESTS + remembered));
+        input.allDemandTokensPerS() / (double) input.typicalTokens() / input.instanceCount();
+    double remembered = requestsPerS * DEMAND_MEMORY_S;
+    return Math.max(MIN_EQUAL_FRACTION, HALF_WEIGHT_REQUESTS / (HALF_WEIGHT_REQUESTS + remembered));
   }
 
-  private static double keptBack(Situation situation) {
-    double equalShareTokens = situation.leftTokens() / (double) situation.instanceCount();
-    double requests = equalShareTokens / situation.typicalTokens();
-    return Math.max(LEAST_KEPT_BACK, 1 / Math.pow(1 + requests, 2));
+  private static double unassignedFraction(Input input) {
+    double equalShareTokens = input.remainingTokens() / (double) input.instanceCount();
+    double requests = equalShareTokens / input.typicalTokens();
+    return Math.max(MIN_UNASSIGNED_FRACTION, 1 / Math.pow(1 + requests, 2));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
@@ -111,9 +111,9 @@
             new long[] {
               grant.spentTokens(),
               grant.limitTokens(),
-              grant.nearTokens(),
-              grant.openTokensPerS(),
-              grant.laterTokensPerS(),
+              grant.immediateTokens(),
+              grant.slowReleaseTokensPerS(),
+              grant.fastReleaseTokensPerS(),
               grant.demandTokensPerS()
             })
         .mapToObj(Long::toString)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Loan.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Loan.java
@@ -8,12 +8,12 @@
 final class Loan {
 
   private final InstanceRecord lender;
-  private final AtomicLong leftTokens;
+  private final AtomicLong remainingTokens;
   private final AtomicInteger reservationCount = new AtomicInteger();
 
   Loan(InstanceRecord lender, long tokens) {
     this.lender = lender;
-    this.leftTokens = new AtomicLong(tokens);
+    this.remainingTokens = new AtomicLong(tokens);
   }
 
   InstanceRecord lender() {
@@ -21,36 +21,36 @@
   }
 
   /** Sets aside as many tokens as are left, at most what is asked for. */
-  SpendingPiece reserveUpTo(long tokens) {
+  PartialReservation reserveUpTo(long tokens) {
     reservationCount.incrementAndGet();
     long taken = takeUpTo(tokens);
     if (taken == 0) {
       reservationCount.decrementAndGet();
-      return SpendingPiece.NONE;
+      return PartialReservation.NONE;
     }
-    return new SpendingPiece(taken, usedTokens -> settle(taken - usedTokens));
+    return new PartialReservation(taken, usedTokens -> settle(taken - usedTokens));
   }
 
   private void settle(long returnedTokens) {
-    leftTokens.addAndGet(returnedTokens);
+    remainingTokens.addAndGet(returnedTokens);
     reservationCount.decrementAndGet();
   }
 
-  long leftTokens() {
-    return leftTokens.get();
+  long remainingTokens() {
+    return remainingTokens.get();
   }
 
-  long takeRest() {
+  long takeRemaining() {
     return takeUpTo(Long.MAX_VALUE);
   }
 
   /** Says whether nothing is left and nothing can come back. */
-  boolean isOver() {
-    return reservationCount.get() == 0 && leftTokens.get() == 0;
+  boolean isSettled() {
+    return reservationCount.get() == 0 && remainingTokens.get() == 0;
   }
 
   private long takeUpTo(long tokens) {
-    long before = leftTokens.getAndUpdate(left -> left - Math.min(left, tokens));
+    long before = remainingTokens.getAndUpdate(left -> left - Math.min(left, tokens));
     return Math.min(before, tokens);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingPiece.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PartialReservation.java
@@ -6,10 +6,10 @@
  * @param tokens how many
  * @param reservation ends it; to be told at most as many used tokens
  */
-record SpendingPiece(long tokens, SpendingReservation reservation) {
+record PartialReservation(long tokens, SpendingReservation reservation) {
 
   /** A place that has nothing. */
-  static final SpendingPiece NONE = new SpendingPiece(0, SpendingReservation.UNLIMITED);
+  static final PartialReservation NONE = new PartialReservation(0, SpendingReservation.UNLIMITED);
 
   /** Gives all back. */
   void cancel() {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingPieces.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ReservationBuilder.java
@@ -15,21 +15,21 @@
  * Optional<SpendingReservation> whole = pieces.whole();
  * }</pre>
  */
-final class SpendingPieces {
+final class ReservationBuilder {
 
-  private final List<SpendingPiece> pieces = new ArrayList<>();
+  private final List<PartialReservation> parts = new ArrayList<>();
   private long missingTokens;
 
-  SpendingPieces(long tokens) {
+  ReservationBuilder(long tokens) {
     this.missingTokens = tokens;
   }
 
   /** Adds what a place has of the tokens that are still missing. */
-  void addFrom(LongFunction<SpendingPiece> place) {
+  void addFrom(LongFunction<PartialReservation> source) {
     if (missingTokens > 0) {
-      SpendingPiece piece = place.apply(missingTokens);
-      missingTokens -= piece.tokens();
-      pieces.add(piece);
+      PartialReservation part = source.apply(missingTokens);
+      missingTokens -= part.tokens();
+      parts.add(part);
     }
   }
 
@@ -38,9 +38,9 @@
   }
 
   /** Gives the whole, or hands all pieces back if it is less than was asked for. */
-  Optional<SpendingReservation> whole() {
+  Optional<SpendingReservation> tryBuild() {
     if (missingTokens > 0) {
-      pieces.forEach(SpendingPiece::cancel);
+      parts.forEach(PartialReservation::cancel);
       return Optional.empty();
     }
     return Optional.of(this::settle);
@@ -48,9 +48,9 @@
 
   private void settle(long usedTokens) {
     long left = usedTokens;
-    for (SpendingPiece piece : pieces) {
-      long usedHere = Math.min(left, piece.tokens());
-      piece.reservation().settle(usedHere);
+    for (PartialReservation part : parts) {
+      long usedHere = Math.min(left, part.tokens());
+      part.reservation().settle(usedHere);
       left -= usedHere;
     }
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SharePolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SharePolicy.java
@@ -6,14 +6,14 @@
   /**
    * What a decision is made from.
    *
-   * @param leftTokens what the team has left that instances in touch can still use
+   * @param remainingTokens what the team has left that instances in touch can still use
    * @param ownDemandTokensPerS how fast this instance spends
    * @param allDemandTokensPerS how fast all instances in touch spend, this one included
    * @param instanceCount the instances in touch, this one included
    * @param typicalTokens the usual size of a request, or a guess before the first one
    */
-  record Situation(
-      long leftTokens,
+  record Input(
+      long remainingTokens,
       long ownDemandTokensPerS,
       long allDemandTokensPerS,
       int instanceCount,
@@ -22,8 +22,8 @@
   /**
    * Decides.
    *
-   * @param situation the situation
+   * @param input the situation
    * @return tokens to hold
    */
-  long holdingTokens(Situation situation);
+  long targetTokens(Input input);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShortageLog.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShortageLog.java
@@ -53,7 +53,7 @@
   }
 
   /** Notes that another instance was asked and had nothing ready. */
-  void onEmpty(String team) {
+  void onNothingLent(String team) {
     of(team).emptyCount.increment();
   }
 
@@ -68,7 +68,7 @@
     shortage.refusedCount.increment();
     shortage.tokens = tokens;
     refusedCount.increment();
-    if (tokens.isCoveredByTable(neededTokens)) {
+    if (tokens.isCoveredByUnassigned(neededTokens)) {
       refusedThoughUnassignedCount.increment();
     }
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
@@ -25,16 +25,16 @@
 public final class SpendingController {
 
   /** A renewal that takes longer, once it is sent, shows that the store is slow or silent. */
-  private static final long RENEWAL_MS = 150;
+  private static final long SLOW_RENEWAL_MS = 150;
 
-  private final Waits waits;
+  private final Timeouts timeouts;
   private final long startedMs;
   private final SpendingReader reader;
-  private final SpendingRows rows;
+  private final SpendingState state;
   private final SpendingLoans loans;
   private final SpendingRenewal renewal;
-  private final SpendingSearch search;
-  private final Growth growth = new Growth();
+  private final TokenReserver reserver;
+  private final TableRefill refill = new TableRefill();
 
   /**
    * Creates the controller and starts to renew.
@@ -62,17 +62,18 @@
       RandomGenerator random,
       PeerLinks links,
       PeerDispatcher dispatcher) {
-    this.waits = new Waits(timers);
+    this.timeouts = new Timeouts(timers);
     this.startedMs = startedMs;
     this.reader =
-        new SpendingReader(table, storeClock, timers, SpendingTables.instanceKey(self.id()));
-    this.rows = new SpendingRows(self, storeClock, timers, startedMs, random, policy);
+        new SpendingReader(table, storeClock, timers, SpendingTable.instanceKey(self.id()));
+    this.state = new SpendingState(self, storeClock, timers, startedMs, random, policy);
     this.loans =
         new SpendingLoans(
-            links, dispatcher, timers, self, this::findLendable, growth, rows.shortages());
-    this.renewal = new SpendingRenewal(table, reader, rows, plan, timers, random, loans::handBack);
-    SpendingRefusals refusals = new SpendingRefusals(rows, reader, renewal);
-    this.search = new SpendingSearch(rows, loans, renewal, refusals, growth, waits);
+            links, dispatcher, timers, self, this::findLendableSpending, refill, state.shortages());
+    this.renewal =
+        new SpendingRenewal(table, reader, state, plan, timers, random, loans::returnUnspent);
+    SpendingRefusals refusals = new SpendingRefusals(state, reader, renewal);
+    this.reserver = new TokenReserver(state, loans, renewal, refusals, refill, timeouts);
   }
 
   /**
@@ -81,7 +82,7 @@
    * @return a count; 0 until the table was read
    */
   public int instanceCount() {
-    return rows.instanceCount();
+    return state.instanceCount();
   }
 
   /**
@@ -90,7 +91,7 @@
    * @return false until the first row was written
    */
   public boolean hasRow() {
-    return rows.isTakenOver();
+    return state.isInitialized();
   }
 
   /**
@@ -98,8 +99,8 @@
    *
    * @return milliseconds since it was last renewed; very many when it never was
    */
-  public long sinceRenewalMs() {
-    return renewal.sinceRenewalMs();
+  public long renewalAgeMs() {
+    return renewal.renewalAgeMs();
   }
 
   /**
@@ -109,7 +110,7 @@
    * @return tokens, some of which may open only later
    */
   public long heldTokens(String team) {
-    return rows.heldTokens(team);
+    return state.heldTokens(team);
   }
 
   /**
@@ -119,7 +120,7 @@
    * @return tokens by the last read of the table
    */
   public long unassignedTokens(TeamPlan team) {
-    return rows.tokensOf(team).unassignedTokens();
+    return state.tokensOf(team).unassignedTokens();
   }
 
   /**
@@ -129,7 +130,7 @@
    * @return tokens of all teams
    */
   public long lostTokens() {
-    return rows.lostTokens();
+    return state.lostTokens();
   }
 
   /**
@@ -138,7 +139,7 @@
    * @return a count since the start
    */
   public long refusedCount() {
-    return rows.shortages().refusedCount();
+    return state.shortages().refusedCount();
   }
 
   /**
@@ -147,7 +148,7 @@
    * @return a count since the start
    */
   public long refusedThoughUnassignedCount() {
-    return rows.shortages().refusedThoughUnassignedCount();
+    return state.shortages().refusedThoughUnassignedCount();
   }
 
   /**
@@ -155,18 +156,18 @@
    *
    * @return the instances, in the order of their ids
    */
-  public List<InstanceRecord> others() {
-    return rows.others();
+  public List<InstanceRecord> peers() {
+    return state.peers();
   }
 
   /**
-   * Says whether {@link #others()} holds for this moment: it was read when it was due, and this
+   * Says whether {@link #peers()} holds for this moment: it was read when it was due, and this
    * process has been there for as long as others need to read of it.
    *
    * @return false after the start, and while the store is out of reach
    */
-  public boolean knowsFleet() {
-    return reader.isWholeViewCurrent(startedMs);
+  public boolean isFleetViewCurrent() {
+    return reader.isFullReadCurrent(startedMs);
   }
 
   /**
@@ -180,41 +181,42 @@
     if (team.prepaidTokens().isEmpty()) {
       return CompletableFuture.completedFuture(SpendingReservation.UNLIMITED);
     }
-    return search.reserve(team, tokens);
+    return reserver.reserve(team, tokens);
   }
 
   /** Gets more for loans, unless the store is out of reach. */
-  private final class Growth implements SpendingLoans.Growth {
+  private final class TableRefill implements SpendingLoans.Refill {
 
     /** The holders of all domains are asked and open a part each, together what was lacking. */
     @Override
-    public void want(String team, long lackingTokens) {
-      if (renewal.isInTouch() && !renewal.isLeaving()) {
-        rows.wanted().add(team, partOf(lackingTokens, rows.holders().countOfEach()));
+    public void requestWithNextRenewal(String team, long missingTokens) {
+      if (renewal.isStoreReachable() && !renewal.isReturningAll()) {
+        state.wanted().add(team, ceilDivide(missingTokens, state.holders().holderCount()));
       }
     }
 
-    private static long partOf(long tokens, int parts) {
+    private static long ceilDivide(long tokens, int parts) {
       return (tokens + parts - 1) / parts;
     }
 
     @Override
-    public Optional<CompletableFuture<Boolean>> grow(String team, long needTokens) {
-      if (!renewal.isInTouch() || renewal.isLeaving()) {
+    public Optional<CompletableFuture<Boolean>> refill(String team, long needTokens) {
+      if (!renewal.isStoreReachable() || renewal.isReturningAll()) {
         return Optional.empty();
       }
-      if (rows.isSurelyNone(team, needTokens)) {
+      if (state.isKnownInsufficient(team, needTokens)) {
         return Optional.of(CompletableFuture.completedFuture(true));
       }
-      SpendingRenewal.Asked asked = renewal.askFor(team, needTokens);
+      SpendingRenewal.RequestedRenewal asked = renewal.requestTokens(team, needTokens);
       return asked.isTooLate()
           ? Optional.empty()
-          : Optional.of(waits.within(asked.renewed(), asked.sentInMs() + RENEWAL_MS));
+          : Optional.of(
+              timeouts.completeWithin(asked.renewed(), asked.delayMs() + SLOW_RENEWAL_MS));
     }
   }
 
-  private Optional<TeamSpending> findLendable(String team) {
-    return renewal.isLeaving() || !rows.isTakenOver() ? Optional.empty() : rows.find(team);
+  private Optional<TeamSpending> findLendableSpending(String team) {
+    return renewal.isReturningAll() || !state.isInitialized() ? Optional.empty() : state.find(team);
   }
 
   /**
@@ -222,7 +224,7 @@
    *
    * @return completes when the row was written, or could not be
    */
-  public CompletableFuture<Boolean> handBack() {
-    return renewal.handBack();
+  public CompletableFuture<Boolean> returnUnspentTokens() {
+    return renewal.returnUnspentTokens();
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
@@ -5,12 +5,12 @@
 
   private static final long serialVersionUID = 1L;
 
-  private final boolean spent;
+  private final boolean budgetSpent;
   private final long retryAfterMs;
 
   private SpendingException(String message, boolean spent, long retryAfterMs) {
     super(message, null, false, false);
-    this.spent = spent;
+    this.budgetSpent = spent;
     this.retryAfterMs = retryAfterMs;
   }
 
@@ -22,7 +22,7 @@
    * @param neededTokens what the request needs
    * @return the error
    */
-  public static SpendingException spent(String team, long leftTokens, long neededTokens) {
+  public static SpendingException budgetSpent(String team, long leftTokens, long neededTokens) {
     return new SpendingException(
         "team " + team + " has " + leftTokens + " tokens left, needed " + neededTokens, true, 0);
   }
@@ -36,7 +36,7 @@
    * @param retryAfterMs when tokens can be there
    * @return the error
    */
-  public static SpendingException notHere(
+  public static SpendingException notAvailableHere(
       String team, long neededTokens, String state, long retryAfterMs) {
     return new SpendingException(
         "no " + neededTokens + " tokens of team " + team + " at hand: " + state,
@@ -49,8 +49,8 @@
    *
    * @return false when the tokens are only not here
    */
-  public boolean isSpent() {
-    return spent;
+  public boolean isBudgetSpent() {
+    return budgetSpent;
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingGrant.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingGrant.java
@@ -18,27 +18,28 @@
  *
  * @param spentTokens what was spent or set aside when the row was sent
  * @param limitTokens the most that may ever be spent under this row
- * @param nearTokens what may be spent beyond {@code spentTokens} before the bound begins to open
- * @param openTokensPerS how fast the bound opens at first
- * @param laterTokensPerS how fast it opens in a long silence
+ * @param immediateTokens what may be spent beyond {@code spentTokens} before the bound begins to
+ *     open
+ * @param slowReleaseTokensPerS how fast the bound opens at first
+ * @param fastReleaseTokensPerS how fast it opens in a long silence
  * @param demandTokensPerS how fast the instance has spent lately, for sharing out the rest
  */
 public record SpendingGrant(
     long spentTokens,
     long limitTokens,
-    long nearTokens,
-    long openTokensPerS,
-    long laterTokensPerS,
+    long immediateTokens,
+    long slowReleaseTokensPerS,
+    long fastReleaseTokensPerS,
     long demandTokensPerS) {
 
   /** How long a row counts as new: renewals come every second, so one of them has failed then. */
-  public static final long FRESH_MS = 1_200;
+  public static final long SLOW_RELEASE_AFTER_MS = 1_200;
 
   /**
    * Silence after which the bound opens fast: a process that was killed, or lost power for a
    * moment, has a successor by then, which has closed the row.
    */
-  public static final long LONG_SILENCE_MS = 2_600;
+  public static final long FAST_RELEASE_AFTER_MS = 2_600;
 
   /** A silence that never passes. */
   public static final long NEVER_MS = Long.MAX_VALUE / 2;
@@ -46,7 +47,7 @@
   private static final long MS_PER_S = 1_000;
 
   /** Demand is followed by its peaks, which are about twice its average. */
-  private static final long PEAK_BY_AVERAGE = 2;
+  private static final long PEAK_TO_AVERAGE_RATIO = 2;
 
   /** A grant under which nothing was spent and nothing may be. */
   public static final SpendingGrant NONE = new SpendingGrant(0, 0, 0, 0, 0, 0);
@@ -54,14 +55,16 @@
   /**
    * Gives the most that may have been spent.
    *
-   * @param silentMs milliseconds since the row was sent
+   * @param ageMs milliseconds since the row was sent
    * @return tokens, never more than the limit and never less for a longer silence
    */
-  public long boundAfterMs(long silentMs) {
-    long slowMs = Math.max(0, Math.min(silentMs, LONG_SILENCE_MS) - FRESH_MS);
-    long fastMs = Math.max(0, silentMs - LONG_SILENCE_MS);
-    long opened = (openTokensPerS * slowMs + laterTokensPerS * fastMs) / MS_PER_S;
-    return Math.min(limitTokens, spentTokens + nearTokens + opened);
+  public long boundAfterMs(long ageMs) {
+    long slowReleaseMs =
+        Math.max(0, Math.min(ageMs, FAST_RELEASE_AFTER_MS) - SLOW_RELEASE_AFTER_MS);
+    long fastReleaseMs = Math.max(0, ageMs - FAST_RELEASE_AFTER_MS);
+    long released =
+        (slowReleaseTokensPerS * slowReleaseMs + fastReleaseTokensPerS * fastReleaseMs) / MS_PER_S;
+    return Math.min(limitTokens, spentTokens + immediateTokens + released);
   }
 
   /**
@@ -70,21 +73,22 @@
    * @param tokens the amount
    * @return milliseconds since the row was sent; {@link #NEVER_MS} or more when it never does
    */
-  public long silenceUntilMs(long tokens) {
+  public long timeToReachMs(long tokens) {
     if (tokens > limitTokens) {
       return NEVER_MS;
     }
-    long missing = tokens - spentTokens - nearTokens;
-    long slow = openTokensPerS * (LONG_SILENCE_MS - FRESH_MS) / MS_PER_S;
+    long missing = tokens - spentTokens - immediateTokens;
+    long slowReleased =
+        slowReleaseTokensPerS * (FAST_RELEASE_AFTER_MS - SLOW_RELEASE_AFTER_MS) / MS_PER_S;
     if (missing <= 0) {
       return 0;
     }
-    return missing <= slow
-        ? FRESH_MS + timeFor(missing, openTokensPerS)
-        : LONG_SILENCE_MS + timeFor(missing - slow, laterTokensPerS);
+    return missing <= slowReleased
+        ? SLOW_RELEASE_AFTER_MS + releaseTimeMs(missing, slowReleaseTokensPerS)
+        : FAST_RELEASE_AFTER_MS + releaseTimeMs(missing - slowReleased, fastReleaseTokensPerS);
   }
 
-  private static long timeFor(long tokens, long tokensPerS) {
+  private static long releaseTimeMs(long tokens, long tokensPerS) {
     return tokensPerS == 0 ? NEVER_MS : (tokens * MS_PER_S + tokensPerS - 1) / tokensPerS;
   }
 
@@ -93,30 +97,30 @@
    *
    * @return tokens
    */
-  public long holdingTokens() {
+  public long heldTokens() {
     return limitTokens - spentTokens;
   }
 
   /**
    * Estimates what a living instance has spent since it sent the row.
    *
-   * @param silentMs milliseconds since the row was sent
+   * @param ageMs milliseconds since the row was sent
    * @return tokens, never more than the limit
    */
-  public long expectedSpentAfterMs(long silentMs) {
-    long since = demandTokensPerS * Math.max(0, silentMs) / (PEAK_BY_AVERAGE * MS_PER_S);
-    return Math.min(limitTokens, spentTokens + since);
+  public long expectedSpentAfterMs(long ageMs) {
+    long spentSince = demandTokensPerS * Math.max(0, ageMs) / (PEAK_TO_AVERAGE_RATIO * MS_PER_S);
+    return Math.min(limitTokens, spentTokens + spentSince);
   }
 
   /**
    * Settles the grant of a dead instance: the most that it can have spent counts as spent, and
    * nothing more may be.
    *
-   * @param silentMs milliseconds since the row was sent, or more
+   * @param ageMs milliseconds since the row was sent, or more
    * @return a grant without holding
    */
-  public SpendingGrant closedAfterMs(long silentMs) {
-    long bound = boundAfterMs(silentMs);
+  public SpendingGrant closedAfterMs(long ageMs) {
+    long bound = boundAfterMs(ageMs);
     return new SpendingGrant(bound, bound, 0, 0, 0, 0);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
@@ -31,7 +31,7 @@
   private static final long ANSWER_MS = 150;
 
   /** Peers that are asked for one request, one after the other. */
-  private static final int MAX_ASKED = 3;
+  private static final int MAX_LENDERS_ASKED = 3;
 
   /** Pause after a team found no lender, so that a spent budget costs few messages. */
   private static final long NO_LENDER_PAUSE_MS = 200;
@@ -40,25 +40,25 @@
   private static final long LATE_ANSWER_MS = 2_000;
 
   /** A holder that has just not answered is passed over for so long, and the table is asked. */
-  private static final long SILENT_PAUSE_MS = 1_000;
+  private static final long UNRESPONSIVE_PEER_PAUSE_MS = 1_000;
 
   /** A lender that makes more ready answers after its renewal, which is paced in a large fleet. */
-  private static final long GROWN_ANSWER_MS = 1_000;
+  private static final long REFILL_ANSWER_MS = 1_000;
 
   /** Part of what a lender has over that one loan may take. */
-  private static final long LENT_DIVISOR = 2;
+  private static final long MAX_LOAN_DIVISOR = 2;
 
   private final PeerLinks links;
   private final Timers timers;
   private final InstanceRecord self;
   private final Function<String, Optional<TeamSpending>> ownSpending;
-  private final Growth growth;
+  private final Refill refill;
   private final ShortageLog shortages;
   private final Map<String, List<Loan>> loans = new ConcurrentHashMap<>();
-  private final Map<String, CompletableFuture<Void>> underWay = new ConcurrentHashMap<>();
-  private final RecentMarks teamsWithoutLender;
-  private final RecentMarks teamsWithoutTokens;
-  private final RecentMarks silentPeers;
+  private final Map<String, CompletableFuture<Void>> inFlightByTeam = new ConcurrentHashMap<>();
+  private final ExpiringSet teamsWithoutLender;
+  private final ExpiringSet teamsWithoutTokens;
+  private final ExpiringSet unresponsivePeers;
   private final AtomicLong transferCount = new AtomicLong();
 
   SpendingLoans(
@@ -67,32 +67,32 @@
       Timers timers,
       InstanceRecord self,
       Function<String, Optional<TeamSpending>> ownSpending,
-      Growth growth,
+      Refill refill,
       ShortageLog shortages) {
-    this.growth = growth;
+    this.refill = refill;
     this.shortages = shortages;
     this.links = links;
     this.timers = timers;
     this.self = self;
     this.ownSpending = ownSpending;
-    this.teamsWithoutLender = new RecentMarks(timers, NO_LENDER_PAUSE_MS);
-    this.teamsWithoutTokens = new RecentMarks(timers, NO_LENDER_PAUSE_MS);
-    this.silentPeers = new RecentMarks(timers, SILENT_PAUSE_MS);
+    this.teamsWithoutLender = new ExpiringSet(timers, NO_LENDER_PAUSE_MS);
+    this.teamsWithoutTokens = new ExpiringSet(timers, NO_LENDER_PAUSE_MS);
+    this.unresponsivePeers = new ExpiringSet(timers, UNRESPONSIVE_PEER_PAUSE_MS);
     dispatcher.on(PeerMessage.BorrowRequest.class, this::lend);
-    dispatcher.on(PeerMessage.HandBack.class, this::takeBack);
+    dispatcher.on(PeerMessage.HandBack.class, this::onLoanReturned);
   }
 
   /** Gets tokens from the table for a loan that is larger than what is ready here. */
-  interface Growth {
+  interface Refill {
 
     /** Has so much more ready with the next row, if the store is in reach. */
-    void want(String team, long lackingTokens);
+    void requestWithNextRenewal(String team, long missingTokens);
 
     /**
      * Asks for tokens; completes with true when the own row was renewed and shows all that the
      * table can give, and with false when it was not in time. Gives nothing out of touch.
      */
-    Optional<CompletableFuture<Boolean>> grow(String team, long needTokens);
+    Optional<CompletableFuture<Boolean>> refill(String team, long needTokens);
   }
 
   /**
@@ -103,36 +103,36 @@
    * requests find each of them empty. What was lacking shows how much more has to be ready.
    */
   private CompletableFuture<PeerMessage> lend(PeerMessage.BorrowRequest request) {
-    return request.mayGrow() ? lendGrown(request) : lendReady(request);
+    return request.mayGrow() ? lendWithRefill(request) : lendAvailable(request);
   }
 
-  private CompletableFuture<PeerMessage> lendReady(PeerMessage.BorrowRequest request) {
+  private CompletableFuture<PeerMessage> lendAvailable(PeerMessage.BorrowRequest request) {
     long lent = tryLend(request, request.needTokens());
     if (lent < request.needTokens()) {
-      growth.want(request.budget(), request.needTokens() - lent);
+      refill.requestWithNextRenewal(request.budget(), request.needTokens() - lent);
     }
     return CompletableFuture.completedFuture(replyWith(request, lent, false));
   }
 
-  private CompletableFuture<PeerMessage> lendGrown(PeerMessage.BorrowRequest request) {
+  private CompletableFuture<PeerMessage> lendWithRefill(PeerMessage.BorrowRequest request) {
     long lent = tryLend(request, request.needTokens());
-    long lacking = request.needTokens() - lent;
-    if (lacking <= 0) {
+    long missing = request.needTokens() - lent;
+    if (missing <= 0) {
       return CompletableFuture.completedFuture(replyWith(request, lent, false));
     }
-    return growth
-        .grow(request.budget(), lacking)
-        .map(growing -> lendOnceGrown(request, lent, growing))
+    return refill
+        .refill(request.budget(), missing)
+        .map(refilling -> lendAfterRefill(request, lent, refilling))
         .orElseGet(() -> CompletableFuture.completedFuture(replyWith(request, lent, false)));
   }
 
-  private CompletableFuture<PeerMessage> lendOnceGrown(
-      PeerMessage.BorrowRequest request, long lent, CompletableFuture<Boolean> growing) {
-    return growing.thenApply(
+  private CompletableFuture<PeerMessage> lendAfterRefill(
+      PeerMessage.BorrowRequest request, long lent, CompletableFuture<Boolean> refilling) {
+    return refilling.thenApply(
         renewed -> {
           long more = tryLend(request, request.needTokens() - lent);
-          boolean sure = renewed && lent + more < request.needTokens();
-          return replyWith(request, lent + more, sure);
+          boolean exhausted = renewed && lent + more < request.needTokens();
+          return replyWith(request, lent + more, exhausted);
         });
   }
 
@@ -140,11 +140,11 @@
     long wantedTokens = Math.max(needTokens, request.wantedTokens());
     return ownSpending
         .apply(request.budget())
-        .map(spending -> spending.lend(needTokens, wantedTokens, LENT_DIVISOR))
+        .map(spending -> spending.lend(needTokens, wantedTokens, MAX_LOAN_DIVISOR))
         .orElse(0L);
   }
 
-  private PeerMessage replyWith(PeerMessage.BorrowRequest request, long lent, boolean sure) {
+  private PeerMessage replyWith(PeerMessage.BorrowRequest request, long lent, boolean exhausted) {
     if (lent > request.needTokens()) {
       Logger.info("tokens lent team={} tokens={}", request.budget(), lent);
     }
@@ -154,24 +154,24 @@
             : List.of(
                 new PeerMessage.BorrowReply.Slice(
                     new AllotmentId(self.incarnation(), request.budget()), lent, Long.MAX_VALUE));
-    return new PeerMessage.BorrowReply(slices, sure);
+    return new PeerMessage.BorrowReply(slices, exhausted);
   }
 
-  private CompletableFuture<PeerMessage> takeBack(PeerMessage.HandBack request) {
+  private CompletableFuture<PeerMessage> onLoanReturned(PeerMessage.HandBack request) {
     ownSpending
         .apply(request.allotment().budget())
-        .ifPresent(spending -> spending.takeBack(request.tokens()));
+        .ifPresent(spending -> spending.returnLoan(request.tokens()));
     return CompletableFuture.completedFuture(new PeerMessage.Done());
   }
 
   /** Adds what is left of loans to what a request needs. */
-  void addTo(SpendingPieces pieces, String team) {
-    loans.getOrDefault(team, List.of()).forEach(loan -> pieces.addFrom(loan::reserveUpTo));
+  void addTo(ReservationBuilder builder, String team) {
+    loans.getOrDefault(team, List.of()).forEach(loan -> builder.addFrom(loan::reserveUpTo));
   }
 
   /** Gives what is left of a team's loans. */
-  long leftTokens(String team) {
-    return loans.getOrDefault(team, List.of()).stream().mapToLong(Loan::leftTokens).sum();
+  long remainingTokens(String team) {
+    return loans.getOrDefault(team, List.of()).stream().mapToLong(Loan::remainingTokens).sum();
   }
 
   /**
@@ -185,21 +185,21 @@
    */
   CompletableFuture<Void> borrow(
       String team, long needTokens, long wantedTokens, List<InstanceRecord> lenders) {
-    if (teamsWithoutLender.isRecent(team)) {
+    if (teamsWithoutLender.contains(team)) {
       return CompletableFuture.completedFuture(null);
     }
     CompletableFuture<Void> mine = new CompletableFuture<>();
-    CompletableFuture<Void> current = underWay.putIfAbsent(team, mine);
+    CompletableFuture<Void> current = inFlightByTeam.putIfAbsent(team, mine);
     if (current != null) {
       return current;
     }
-    ask(team, needTokens, wantedTokens, lenders.stream().limit(MAX_ASKED).toList(), false)
+    ask(team, needTokens, wantedTokens, lenders.stream().limit(MAX_LENDERS_ASKED).toList(), false)
         .thenAccept(
             outcome -> {
               if (outcome.missingTokens() == needTokens) {
-                teamsWithoutLender.mark(team);
+                teamsWithoutLender.add(team);
               }
-              underWay.remove(team);
+              inFlightByTeam.remove(team);
               mine.complete(null);
             });
     return mine;
@@ -213,12 +213,13 @@
    * @param holders whom to ask, in order, until nothing is lacking
    * @return completes when enough was lent or all were asked
    */
-  CompletableFuture<Void> borrowReady(String team, long needTokens, List<InstanceRecord> holders) {
-    return ask(team, needTokens, needTokens, answering(holders), false).thenApply(outcome -> null);
+  CompletableFuture<Void> borrowAvailable(
+      String team, long needTokens, List<InstanceRecord> holders) {
+    return ask(team, needTokens, needTokens, responsive(holders), false).thenApply(outcome -> null);
   }
 
-  private List<InstanceRecord> answering(List<InstanceRecord> holders) {
-    return holders.stream().filter(holder -> !silentPeers.isRecent(holder.id())).toList();
+  private List<InstanceRecord> responsive(List<InstanceRecord> holders) {
+    return holders.stream().filter(holder -> !unresponsivePeers.contains(holder.id())).toList();
   }
 
   /**
@@ -230,47 +231,48 @@
    * @param holders whom to ask, in order, until nothing is lacking
    * @return what is still lacking then
    */
-  CompletableFuture<Outcome> borrowGrown(
+  CompletableFuture<BorrowOutcome> borrowWithRefill(
       String team, long needTokens, List<InstanceRecord> holders) {
-    if (teamsWithoutTokens.isRecent(team)) {
-      return CompletableFuture.completedFuture(new Outcome(needTokens, true));
+    if (teamsWithoutTokens.contains(team)) {
+      return CompletableFuture.completedFuture(new BorrowOutcome(needTokens, true));
     }
-    List<InstanceRecord> asked = answering(holders);
-    boolean all = asked.size() == holders.size();
+    List<InstanceRecord> asked = responsive(holders);
+    boolean allAsked = asked.size() == holders.size();
     return ask(team, needTokens, needTokens, asked, true)
-        .thenApply(outcome -> outcome.onlyIf(all))
-        .thenApply(outcome -> note(team, outcome));
+        .thenApply(outcome -> outcome.exhaustedOnlyIf(allAsked))
+        .thenApply(outcome -> recordOutcome(team, outcome));
   }
 
-  private Outcome note(String team, Outcome outcome) {
-    if (outcome.isNone()) {
-      teamsWithoutTokens.mark(team);
+  private BorrowOutcome recordOutcome(String team, BorrowOutcome outcome) {
+    if (outcome.isInsufficient()) {
+      teamsWithoutTokens.add(team);
     }
     return outcome;
   }
 
   /** Asks one lender after the other. */
-  private CompletableFuture<Outcome> ask(
+  private CompletableFuture<BorrowOutcome> ask(
       String team,
       long needTokens,
       long wantedTokens,
       List<InstanceRecord> lenders,
       boolean mayGrow) {
     if (lenders.isEmpty() || needTokens <= 0) {
-      return CompletableFuture.completedFuture(new Outcome(needTokens, true));
+      return CompletableFuture.completedFuture(new BorrowOutcome(needTokens, true));
     }
     InstanceRecord lender = lenders.get(0);
-    List<InstanceRecord> next = lenders.subList(1, lenders.size());
+    List<InstanceRecord> remainingLenders = lenders.subList(1, lenders.size());
     return askOne(
             lender,
-            new PeerMessage.BorrowRequest(nextTransfer(), team, needTokens, wantedTokens, mayGrow))
+            new PeerMessage.BorrowRequest(
+                nextTransferId(), team, needTokens, wantedTokens, mayGrow))
         .thenCompose(
             answer -> {
               long missing = needTokens - answer.tokens();
-              return mayGrow && answer.isNoneForNow()
-                  ? CompletableFuture.completedFuture(new Outcome(missing, false))
-                  : ask(team, missing, wantedTokens, next, mayGrow)
-                      .thenApply(rest -> rest.onlyIf(answer.sure()));
+              return mayGrow && answer.isInconclusive()
+                  ? CompletableFuture.completedFuture(new BorrowOutcome(missing, false))
+                  : ask(team, missing, wantedTokens, remainingLenders, mayGrow)
+                      .thenApply(rest -> rest.exhaustedOnlyIf(answer.exhausted()));
             });
   }
 
@@ -278,27 +280,28 @@
    * What came of asking for one request's tokens.
    *
    * @param missingTokens what is still lacking
-   * @param sure true when all were asked and answered that neither they nor the table have more
+   * @param exhausted true when all were asked and answered that neither they nor the table have
+   *     more
    */
-  record Outcome(long missingTokens, boolean sure) {
+  record BorrowOutcome(long missingTokens, boolean exhausted) {
 
-    private Outcome onlyIf(boolean alsoSure) {
-      return new Outcome(missingTokens, sure && alsoSure);
+    private BorrowOutcome exhaustedOnlyIf(boolean alsoExhausted) {
+      return new BorrowOutcome(missingTokens, exhausted && alsoExhausted);
     }
 
     /** Says whether there is surely not enough, and not only taken by another request meanwhile. */
-    boolean isNone() {
-      return sure && missingTokens > 0;
+    boolean isInsufficient() {
+      return exhausted && missingTokens > 0;
     }
   }
 
   /** What one lender gave, and whether it said that there is no more. */
-  private record Answer(long tokens, boolean sure) {
-    private static final Answer NONE = new Answer(0, false);
+  private record LenderAnswer(long tokens, boolean exhausted) {
+    private static final LenderAnswer NONE = new LenderAnswer(0, false);
 
     /** The lender did not answer, or could not renew: the store may be out of reach for all. */
-    private boolean isNoneForNow() {
-      return tokens == 0 && !sure;
+    private boolean isInconclusive() {
+      return tokens == 0 && !exhausted;
     }
   }
 
@@ -309,52 +312,54 @@
    * counts the tokens as spent and nobody has them. A late loan is therefore taken when it comes,
    * and what is left of it goes back with the next renewal.
    */
-  private CompletableFuture<Answer> askOne(
+  private CompletableFuture<LenderAnswer> askOne(
       InstanceRecord lender, PeerMessage.BorrowRequest request) {
-    CompletableFuture<Answer> borrowed = new CompletableFuture<>();
+    CompletableFuture<LenderAnswer> borrowed = new CompletableFuture<>();
     timers.after(
-        request.mayGrow() ? GROWN_ANSWER_MS : ANSWER_MS,
+        request.mayGrow() ? REFILL_ANSWER_MS : ANSWER_MS,
         () -> {
-          if (borrowed.complete(Answer.NONE)) {
-            noteUnanswered(lender, request);
+          if (borrowed.complete(LenderAnswer.NONE)) {
+            recordUnanswered(lender, request);
           }
         });
     links
         .ask(lender, request, LATE_ANSWER_MS)
-        .thenApply(reply -> take(request, lender, reply))
+        .thenApply(reply -> acceptLoan(request, lender, reply))
         .exceptionally(
             error -> {
-              noteUnanswered(lender, request);
+              recordUnanswered(lender, request);
               Logger.debug("no loan from {}: {}", lender.id(), Failures.unwrap(error).getMessage());
-              return Answer.NONE;
+              return LenderAnswer.NONE;
             })
         .thenAccept(borrowed::complete);
     return borrowed;
   }
 
-  private void noteUnanswered(InstanceRecord lender, PeerMessage.BorrowRequest request) {
-    silentPeers.mark(lender.id());
+  private void recordUnanswered(InstanceRecord lender, PeerMessage.BorrowRequest request) {
+    unresponsivePeers.add(lender.id());
     shortages.onUnanswered(request.budget());
   }
 
-  private Answer take(PeerMessage.BorrowRequest request, InstanceRecord lender, PeerMessage reply) {
-    if (!(reply instanceof PeerMessage.BorrowReply given)) {
-      return Answer.NONE;
+  private LenderAnswer acceptLoan(
+      PeerMessage.BorrowRequest request, InstanceRecord lender, PeerMessage reply) {
+    if (!(reply instanceof PeerMessage.BorrowReply borrowReply)) {
+      return LenderAnswer.NONE;
     }
-    if (given.slices().isEmpty()) {
-      shortages.onEmpty(request.budget());
-      return new Answer(0, given.sure());
+    if (borrowReply.slices().isEmpty()) {
+      shortages.onNothingLent(request.budget());
+      return new LenderAnswer(0, borrowReply.sure());
     }
-    long tokens = given.slices().stream().mapToLong(PeerMessage.BorrowReply.Slice::tokens).sum();
+    long tokens =
+        borrowReply.slices().stream().mapToLong(PeerMessage.BorrowReply.Slice::tokens).sum();
     List<Loan> ofTeam =
         loans.computeIfAbsent(request.budget(), name -> new CopyOnWriteArrayList<>());
-    ofTeam.removeIf(Loan::isOver);
+    ofTeam.removeIf(Loan::isSettled);
     ofTeam.add(new Loan(lender, tokens));
     if (tokens > request.needTokens()) {
       Logger.info(
           "tokens borrowed team={} tokens={} lender={}", request.budget(), tokens, lender.id());
     }
-    return new Answer(tokens, given.sure());
+    return new LenderAnswer(tokens, borrowReply.sure());
   }
 
   /**
@@ -362,8 +367,8 @@
    *
    * <p>Each rest is sent once: a second message after a lost reply would be taken twice.
    */
-  void handBack() {
-    loans.keySet().forEach(this::handBack);
+  void returnUnspent() {
+    loans.keySet().forEach(this::returnUnspent);
   }
 
   /**
@@ -373,21 +378,22 @@
    * Symptom: the parts lie unused at the borrower until the store is back, while other requests of
    * the team are refused.
    */
-  void handBack(String name) {
+  void returnUnspent(String name) {
     loans.computeIfPresent(
         name,
         (team, ofTeam) -> {
-          Map<InstanceRecord, Long> rests =
+          Map<InstanceRecord, Long> remainingByLender =
               ofTeam.stream()
                   .collect(
-                      Collectors.groupingBy(Loan::lender, Collectors.summingLong(Loan::takeRest)));
-          rests.forEach((lender, rest) -> handBack(team, lender, rest));
-          ofTeam.removeIf(Loan::isOver);
+                      Collectors.groupingBy(
+                          Loan::lender, Collectors.summingLong(Loan::takeRemaining)));
+          remainingByLender.forEach((lender, remaining) -> returnUnspent(team, lender, remaining));
+          ofTeam.removeIf(Loan::isSettled);
           return ofTeam;
         });
   }
 
-  private void handBack(String team, InstanceRecord lender, long tokens) {
+  private void returnUnspent(String team, InstanceRecord lender, long tokens) {
     if (tokens == 0) {
       return;
     }
@@ -395,7 +401,9 @@
     var unused =
         links
             .ask(
-                lender, new PeerMessage.HandBack(nextTransfer(), allotment, tokens), LATE_ANSWER_MS)
+                lender,
+                new PeerMessage.HandBack(nextTransferId(), allotment, tokens),
+                LATE_ANSWER_MS)
             .exceptionally(
                 error -> {
                   Logger.warn(
@@ -408,7 +416,7 @@
                 });
   }
 
-  private String nextTransfer() {
+  private String nextTransferId() {
     return self.incarnation() + "-" + transferCount.incrementAndGet();
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
@@ -29,14 +29,14 @@
   private static final long MS_PER_S = 1_000;
 
   /** A read goes with a renewal, and one of those may fail. */
-  private static final long LATE_READ_MS = 2_500;
+  private static final long FULL_READ_GRACE_MS = 2_500;
 
   private final TableService table;
   private final StoreClock storeClock;
   private final Timers timers;
   private final RowKey ownKey;
-  private volatile SpendingTables.Contents latest = SpendingTables.Contents.EMPTY;
-  private volatile long wholeReadMs = Long.MIN_VALUE / 2;
+  private volatile SpendingTable.Snapshot latestSnapshot = SpendingTable.Snapshot.EMPTY;
+  private volatile long fullReadMs = Long.MIN_VALUE / 2;
 
   SpendingReader(TableService table, StoreClock storeClock, Timers timers, RowKey ownKey) {
     this.table = table;
@@ -50,25 +50,27 @@
    *
    * @param withTeams true when the rows of teams may change with it
    */
-  CompletableFuture<SpendingTables.Contents> read(boolean withTeams) {
+  CompletableFuture<SpendingTable.Snapshot> read(boolean withTeams) {
     return readNeeded(withTeams)
         .thenApply(
-            contents -> {
-              latest = contents;
-              return contents;
+            snapshot -> {
+              latestSnapshot = snapshot;
+              return snapshot;
             });
   }
 
-  private CompletableFuture<SpendingTables.Contents> readNeeded(boolean withTeams) {
-    if (sinceWholeReadMs() >= wholeReadPauseMs()) {
-      return readWhole();
+  private CompletableFuture<SpendingTable.Snapshot> readNeeded(boolean withTeams) {
+    if (fullReadAgeMs() >= fullReadIntervalMs()) {
+      return readAll();
     }
-    return withTeams ? readOwnAndTeams() : readOwn().thenApply(own -> latest.withNewer(own));
+    return withTeams
+        ? readOwnAndTeams()
+        : readOwn().thenApply(own -> latestSnapshot.withUpdated(own));
   }
 
   /** Says how old the rows of the other instances are. */
-  long sinceWholeReadMs() {
-    return timers.nowMs() - wholeReadMs;
+  long fullReadAgeMs() {
+    return timers.nowMs() - fullReadMs;
   }
 
   /**
@@ -76,23 +78,23 @@
    *
    * @param sinceMs since when that has been so, or would have been
    */
-  boolean isWholeViewCurrent(long sinceMs) {
-    long dueMs = wholeReadPauseMs() + LATE_READ_MS;
-    return sinceWholeReadMs() <= dueMs && timers.nowMs() - sinceMs >= dueMs;
+  boolean isFullReadCurrent(long sinceMs) {
+    long dueMs = fullReadIntervalMs() + FULL_READ_GRACE_MS;
+    return fullReadAgeMs() <= dueMs && timers.nowMs() - sinceMs >= dueMs;
   }
 
   /** Slightly less than due, as renewals come at whole seconds of their own. */
-  private long wholeReadPauseMs() {
-    long pauseMs = latest.instances().size() * MS_PER_S / INSTANCE_ROWS_PER_S;
+  private long fullReadIntervalMs() {
+    long pauseMs = latestSnapshot.instances().size() * MS_PER_S / INSTANCE_ROWS_PER_S;
     return pauseMs - MS_PER_S / 2;
   }
 
-  private CompletableFuture<SpendingTables.Contents> readWhole() {
+  private CompletableFuture<SpendingTable.Snapshot> readAll() {
     return readPages("", "", new ArrayList<>())
         .thenApply(
             rows -> {
-              wholeReadMs = timers.nowMs();
-              return SpendingTables.Contents.of(rows, storeClock.nowMs());
+              fullReadMs = timers.nowMs();
+              return SpendingTable.Snapshot.of(rows, storeClock.nowMs());
             });
   }
 
@@ -100,23 +102,23 @@
     return table.read(List.of(ownKey));
   }
 
-  private CompletableFuture<SpendingTables.Contents> readOwnAndTeams() {
+  private CompletableFuture<SpendingTable.Snapshot> readOwnAndTeams() {
     CompletableFuture<List<Row>> own = readOwn();
-    return readPages(SpendingTables.TEAM_PREFIX, "", new ArrayList<>())
+    return readPages(SpendingTable.TEAM_PREFIX, "", new ArrayList<>())
         .thenCombine(
             own,
             (teams, ownRows) ->
-                latest.withTeams(
+                latestSnapshot.withTeams(
                     Stream.concat(teams.stream(), ownRows.stream()).toList(), storeClock.nowMs()));
   }
 
   private CompletableFuture<List<Row>> readPages(String prefix, String afterKey, List<Row> before) {
     return table
-        .scan(SpendingTables.TABLE, prefix, afterKey, SpendingTables.MAX_ROWS)
+        .scan(SpendingTable.TABLE, prefix, afterKey, SpendingTable.MAX_ROWS)
         .thenCompose(
             page -> {
               before.addAll(page);
-              return page.size() < SpendingTables.MAX_ROWS
+              return page.size() < SpendingTable.MAX_ROWS
                   ? CompletableFuture.completedFuture(before)
                   : readPages(prefix, page.get(page.size() - 1).key().key(), before);
             });
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
@@ -10,20 +10,20 @@
    * Age up to which the rows of the other instances show that a team has too little left: what they
    * have spent since would only leave less.
    */
-  private static final long EVIDENCE_MS = 3_000;
+  private static final long MAX_EVIDENCE_AGE_MS = 3_000;
 
   /** When to come back if other instances have to hand tokens back first. */
-  private static final long REBALANCED_MS = 1_200;
+  private static final long REBALANCE_RETRY_MS = 1_200;
 
   /** Longest wait that is told to a caller. */
   private static final long MAX_RETRY_AFTER_MS = 3_000;
 
-  private final SpendingRows rows;
+  private final SpendingState state;
   private final SpendingReader reader;
   private final SpendingRenewal renewal;
 
-  SpendingRefusals(SpendingRows rows, SpendingReader reader, SpendingRenewal renewal) {
-    this.rows = rows;
+  SpendingRefusals(SpendingState state, SpendingReader reader, SpendingRenewal renewal) {
+    this.state = state;
     this.reader = reader;
     this.renewal = renewal;
   }
@@ -32,23 +32,24 @@
    * Gives the refusal of a request whose team cannot pay, as the last rows already show, so that
    * its caller is told at once. Asking holders and table first could find no more.
    */
-  Optional<SpendingException> ofSpent(TeamPlan team, long tokens) {
-    Optional<SpendingException> refusal = spent(team, tokens);
-    refusal.ifPresent(given -> noteRefused(team, tokens));
+  Optional<SpendingException> ifBudgetSpent(TeamPlan team, long tokens) {
+    Optional<SpendingException> refusal = budgetSpent(team, tokens);
+    refusal.ifPresent(exception -> recordRefusal(team, tokens));
     return refusal;
   }
 
-  private Optional<SpendingException> spent(TeamPlan team, long tokens) {
-    return rows.find(team.name())
-        .filter(spending -> isRenewed() && reader.sinceWholeReadMs() < EVIDENCE_MS)
-        .map(spending -> rows.leftTokens(team, spending))
+  private Optional<SpendingException> budgetSpent(TeamPlan team, long tokens) {
+    return state
+        .find(team.name())
+        .filter(spending -> isRowCurrent() && reader.fullReadAgeMs() < MAX_EVIDENCE_AGE_MS)
+        .map(spending -> state.remainingTokens(team, spending))
         .filter(leftTokens -> leftTokens < tokens)
-        .map(leftTokens -> SpendingException.spent(team.name(), leftTokens, tokens));
+        .map(leftTokens -> SpendingException.budgetSpent(team.name(), leftTokens, tokens));
   }
 
-  private boolean isRenewed() {
-    return renewal.sinceRenewalMs()
-        < SpendingRenewal.LONGEST_PAUSE_MS + SpendingRenewal.LEAST_PAUSE_MS;
+  private boolean isRowCurrent() {
+    return renewal.renewalAgeMs()
+        < SpendingRenewal.MAX_PERIOD_MS + SpendingRenewal.MIN_ON_DEMAND_INTERVAL_MS;
   }
 
   /**
@@ -57,45 +58,52 @@
    * <p>Only a renewal and a read of the whole table within the last seconds show that the team
    * itself has too little; without them the caller is told to come back.
    */
-  SpendingException of(TeamPlan team, long tokens) {
-    TeamTokens where = noteRefused(team, tokens);
-    return spent(team, tokens).orElseGet(() -> notHere(team, tokens, where));
+  SpendingException refusalFor(TeamPlan team, long tokens) {
+    TeamTokens tokenLocations = recordRefusal(team, tokens);
+    return budgetSpent(team, tokens)
+        .orElseGet(() -> notAvailableHere(team, tokens, tokenLocations));
   }
 
-  private TeamTokens noteRefused(TeamPlan team, long tokens) {
-    TeamTokens where = rows.tokensOf(team);
-    rows.shortages().onRefused(team.name(), tokens, where);
-    return where;
+  private TeamTokens recordRefusal(TeamPlan team, long tokens) {
+    TeamTokens tokenLocations = state.tokensOf(team);
+    state.shortages().onRefused(team.name(), tokens, tokenLocations);
+    return tokenLocations;
   }
 
-  private SpendingException notHere(TeamPlan team, long tokens, TeamTokens where) {
-    return rows.find(team.name())
-        .map(spending -> notHere(team, spending, tokens, where))
+  private SpendingException notAvailableHere(
+      TeamPlan team, long tokens, TeamTokens tokenLocations) {
+    return state
+        .find(team.name())
+        .map(spending -> notAvailableHere(team, spending, tokens, tokenLocations))
         .orElseGet(
             () ->
-                SpendingException.notHere(
+                SpendingException.notAvailableHere(
                     team.name(), tokens, "no row yet", SpendingRenewal.PERIOD_MS));
   }
 
-  private SpendingException notHere(
-      TeamPlan team, TeamSpending spending, long tokens, TeamTokens where) {
+  private SpendingException notAvailableHere(
+      TeamPlan team, TeamSpending spending, long tokens, TeamTokens tokenLocations) {
     long retryAfterMs =
-        isRenewed()
-            ? REBALANCED_MS
+        isRowCurrent()
+            ? REBALANCE_RETRY_MS
             : Math.max(
-                SpendingRenewal.LEAST_PAUSE_MS,
+                SpendingRenewal.MIN_ON_DEMAND_INTERVAL_MS,
                 Math.min(MAX_RETRY_AFTER_MS, spending.waitMs(tokens)));
-    return SpendingException.notHere(
-        team.name(), tokens, stateOf(spending, renewal.sinceRenewalMs(), where), retryAfterMs);
+    return SpendingException.notAvailableHere(
+        team.name(),
+        tokens,
+        describeState(spending, renewal.renewalAgeMs(), tokenLocations),
+        retryAfterMs);
   }
 
-  private static String stateOf(TeamSpending spending, long sinceRenewalMs, TeamTokens where) {
+  private static String describeState(
+      TeamSpending spending, long sinceRenewalMs, TeamTokens tokenLocations) {
     return "spent %d of %d, limit %d, renewed %d ms ago, %s"
         .formatted(
             spending.spentTokens(),
             spending.boundTokens(),
             spending.limitTokens(),
             sinceRenewalMs,
-            where.describe());
+            tokenLocations.describe());
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRows.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
@@ -20,28 +20,28 @@
 import org.tinylog.Logger;
 
 /** What this instance has spent of each team's budget, and the row that says so in the table. */
-final class SpendingRows {
+final class SpendingState {
 
   /** A row that was not renewed for this long belongs to an instance that is gone or cut off. */
-  private static final long SILENT_MS = 12_000;
+  private static final long INACTIVE_AFTER_MS = 12_000;
 
   /** Shorter spans say little about demand. */
-  private static final long MIN_COUNTED_MS = 500;
+  private static final long MIN_DEMAND_INTERVAL_MS = 500;
 
   /**
    * Instances that may follow small changes of their shares in one second, on average. Each changes
    * the rows of most teams, which takes 15 to 25 ms from reading to writing, so few of them meet.
    */
-  private static final double TURNS_PER_S = 12;
+  private static final double REBALANCES_PER_S = 12;
 
   /** Rows of teams that were read so long ago still show that there is nothing to get. */
-  private static final long TEAMS_KNOWN_MS = 500;
+  private static final long MAX_TEAM_ROWS_AGE_MS = 500;
 
   /** Part of a budget that only its holders have in a large fleet. */
-  private static final double HOLDERS_SHARE = 0.02;
+  private static final double MAX_NON_HOLDER_SHARE = 0.02;
 
   /** Odds of a turn for an instance that has more of a team though it is no holder. */
-  private static final double EXCESS_ODDS = 0.5;
+  private static final double EXCESS_REBALANCE_PROBABILITY = 0.5;
 
   private final InstanceRecord self;
   private final RowKey ownKey;
@@ -49,23 +49,23 @@
   private final Timers timers;
   private final long startedMs;
   private final RandomGenerator random;
-  private final GrantShaper shaper;
+  private final GrantCalculator calculator;
   private final ShortageLog shortages;
   private final Map<String, TeamSpending> teams = new ConcurrentHashMap<>();
   private final Map<String, Demand> demands = new ConcurrentHashMap<>();
   private final WantedTokens wanted = new WantedTokens();
-  private volatile SpendingTables.Contents contents = SpendingTables.Contents.EMPTY;
+  private volatile SpendingTable.Snapshot snapshot = SpendingTable.Snapshot.EMPTY;
   private volatile ForwardingPlan plan = ForwardingPlan.unknown();
-  private volatile boolean takenOver;
+  private volatile boolean initialized;
   private volatile long lostTokens;
-  private volatile List<InstanceRecord> others = List.of();
-  private long othersReadAtStoreMs = Long.MIN_VALUE;
+  private volatile List<InstanceRecord> peers = List.of();
+  private long peersReadAtStoreMs = Long.MIN_VALUE;
   private volatile TeamHolders holders;
   private volatile int instanceCount;
-  private long demandCountedMs;
-  private int firstChange;
+  private long demandUpdatedMs;
+  private int rotationStart;
 
-  SpendingRows(
+  SpendingState(
       InstanceRecord self,
       StoreClock storeClock,
       Timers timers,
@@ -73,26 +73,26 @@
       RandomGenerator random,
       SharePolicy policy) {
     this.self = self;
-    this.ownKey = SpendingTables.instanceKey(self.id());
+    this.ownKey = SpendingTable.instanceKey(self.id());
     this.storeClock = storeClock;
     this.timers = timers;
     this.startedMs = startedMs;
     this.random = random;
-    this.shaper = new GrantShaper(policy);
+    this.calculator = new GrantCalculator(policy);
     this.shortages = new ShortageLog(timers);
-    this.demandCountedMs = timers.nowMs();
+    this.demandUpdatedMs = timers.nowMs();
     this.holders = new TeamHolders(self, List.of());
   }
 
   /**
    * A row that is about to be sent.
    *
-   * @param sent the grants in it, by team
+   * @param grants the grants in it, by team
    * @param wantedTokens what requests wait for and it brings, by team
    * @param transaction writes it, and the rows of teams whose share changes
    */
   record Proposal(
-      Map<String, TeamSpending.SentGrant> sent,
+      Map<String, TeamSpending.SentGrant> grants,
       Map<String, Long> wantedTokens,
       Transaction transaction) {}
 
@@ -100,12 +100,12 @@
     return Optional.ofNullable(teams.get(team));
   }
 
-  boolean isTakenOver() {
-    return takenOver;
+  boolean isInitialized() {
+    return initialized;
   }
 
-  List<InstanceRecord> others() {
-    return others;
+  List<InstanceRecord> peers() {
+    return peers;
   }
 
   int instanceCount() {
@@ -118,12 +118,12 @@
   }
 
   long demandTokensPerS(String team) {
-    return demandOf(team).tokensPerS();
+    return demandOf(team).peakTokensPerS();
   }
 
   /** Gives where a team's tokens are by the last read. */
   TeamTokens tokensOf(TeamPlan team) {
-    return TeamTokens.of(contents, ownKey, team, storeClock.nowMs());
+    return TeamTokens.of(snapshot, ownKey, team, storeClock.nowMs());
   }
 
   /**
@@ -131,12 +131,12 @@
    * request when the rows of the teams were last read. Of a team that came with a newer plan no row
    * shows anything.
    */
-  boolean isSurelyNone(String team, long neededTokens) {
-    long unassigned = contents.unassignedTokens(team, prepaidTokens(plan, team).orElse(0));
-    return takenOver
+  boolean isKnownInsufficient(String team, long neededTokens) {
+    long unassigned = snapshot.unassignedTokens(team, prepaidTokens(plan, team).orElse(0));
+    return initialized
         && teams.containsKey(team)
-        && storeClock.nowMs() - contents.teamsAtStoreMs() < TEAMS_KNOWN_MS
-        && heldTokens(team) + Math.max(0, unassigned) < neededTokens / TeamSpending.MAX_PIECES;
+        && storeClock.nowMs() - snapshot.teamsReadAtStoreMs() < MAX_TEAM_ROWS_AGE_MS
+        && heldTokens(team) + Math.max(0, unassigned) < neededTokens / TeamSpending.MAX_PARTS;
   }
 
   private static OptionalLong prepaidTokens(ForwardingPlan plan, String team) {
@@ -144,8 +144,8 @@
   }
 
   /** Says whether instances that are no holders of a team have what a request needs. */
-  boolean areTokensElsewhere(String team, long tokens) {
-    return contents.heldOutside(ownKey, team, holders.idsFor(team)) >= tokens;
+  boolean isHeldOutsideHolders(String team, long tokens) {
+    return snapshot.heldOutsideHolders(ownKey, team, holders.holderIds(team)) >= tokens;
   }
 
   /** Gives what counted as spent at the start though the row did not show it as spent. */
@@ -159,7 +159,7 @@
 
   /** Lists whom to ask for a loan. */
   List<InstanceRecord> lenders(String team) {
-    return contents.lenders(ownKey, team, holders.idsFor(team), random);
+    return snapshot.lenders(ownKey, team, holders.holderIds(team), random);
   }
 
   /** Gives what requests wait for, which the next row asks for. */
@@ -168,10 +168,10 @@
   }
 
   /** Gives what a team has left by the last read, with what this instance has spent since. */
-  long leftTokens(TeamPlan team, TeamSpending spending) {
+  long remainingTokens(TeamPlan team, TeamSpending spending) {
     String name = team.name();
     long elsewhere =
-        contents.spentTokens(name) - contents.instance(ownKey).grantOf(name).spentTokens();
+        snapshot.spentTokens(name) - snapshot.instance(ownKey).grantOf(name).spentTokens();
     return team.prepaidTokens().orElse(0) - elsewhere - spending.spentTokens();
   }
 
@@ -181,9 +181,12 @@
    * <p>The first row of a process moves nothing: a whole fleet that starts would change the same
    * rows at once.
    */
-  boolean drawTurn() {
-    double odds = holdsSharesOfOthers() ? EXCESS_ODDS : TURNS_PER_S / Math.max(1, instanceCount);
-    return takenOver && random.nextDouble() < odds;
+  boolean drawRebalance() {
+    double probability =
+        holdsExcess()
+            ? EXCESS_REBALANCE_PROBABILITY
+            : REBALANCES_PER_S / Math.max(1, instanceCount);
+    return initialized && random.nextDouble() < probability;
   }
 
   /**
@@ -191,16 +194,17 @@
    *
    * <p>Nobody asks an instance that is no holder, so what it keeps is out of reach for the team.
    */
-  private boolean holdsSharesOfOthers() {
-    return instanceCount > GrantShaper.MANY_INSTANCES
+  private boolean holdsExcess() {
+    return instanceCount > GrantCalculator.LARGE_FLEET_INSTANCES
         && teams.keySet().stream()
-            .filter(team -> !holders.isSelf(team))
+            .filter(team -> !holders.isHeldBySelf(team))
             .anyMatch(
-                team -> heldTokens(team) > HOLDERS_SHARE * prepaidTokens(plan, team).orElse(0));
+                team ->
+                    heldTokens(team) > MAX_NON_HOLDER_SHARE * prepaidTokens(plan, team).orElse(0));
   }
 
   /** Says whether tokens have to move for this, though it is not this instance's turn. */
-  boolean isMoreThanHeld(Map<String, Long> tokensByTeam) {
+  boolean exceedsHeld(Map<String, Long> tokensByTeam) {
     return tokensByTeam.entrySet().stream()
         .anyMatch(entry -> entry.getValue() > heldTokens(entry.getKey()));
   }
@@ -212,57 +216,60 @@
 
   /** Works out the next row from what was just read; spending stays below it from now on. */
   Proposal propose(
-      SpendingTables.Contents read,
-      ForwardingPlan inForce,
-      ShareChanges.Moves moves,
-      Map<String, Long> noted) {
-    contents = read;
-    plan = inForce;
-    if (!takenOver) {
-      takeOver(read);
+      SpendingTable.Snapshot newSnapshot,
+      ForwardingPlan currentPlan,
+      ShareChangeSelector.AllowedTransfers transfers,
+      Map<String, Long> wantedAtStart) {
+    snapshot = newSnapshot;
+    plan = currentPlan;
+    if (!initialized) {
+      recoverPreviousProcess(newSnapshot);
     }
     final long sentAtStoreMs = storeClock.nowMs();
-    noteOthers(read);
-    final OthersSpending othersSpending = addUp(read);
-    instanceCount = 1 + othersSpending.inTouchCount();
-    inForce.teams().stream()
+    updatePeers(newSnapshot);
+    final PeerSpending peerSpending = totalPeerSpending(newSnapshot);
+    instanceCount = 1 + peerSpending.activeCount();
+    currentPlan.teams().stream()
         .filter(team -> team.prepaidTokens().isPresent())
         .forEach(team -> teams.computeIfAbsent(team.name(), name -> new TeamSpending(timers, 0)));
-    countDemand();
-    Map<String, Long> taken = wanted.take(noted);
+    updateDemand();
+    Map<String, Long> taken = wanted.take(wantedAtStart);
     Map<String, TeamSpending.SentGrant> sent = new TreeMap<>();
-    ShareChanges changes = new ShareChanges(moves, taken.keySet(), teams.size(), firstChange);
+    ShareChangeSelector changes =
+        new ShareChangeSelector(transfers, taken.keySet(), teams.size(), rotationStart);
     for (Map.Entry<String, TeamSpending> entry : new TreeMap<>(teams).entrySet()) {
-      boolean mayChange = changes.allow(entry.getKey());
-      GrantShaper.Situation situation =
-          situation(
+      boolean mayChange = changes.mayChange(entry.getKey());
+      GrantCalculator.TeamState teamState =
+          teamState(
               entry.getKey(),
               entry.getValue(),
-              inForce,
-              read,
-              othersSpending,
+              currentPlan,
+              newSnapshot,
+              peerSpending,
               taken.getOrDefault(entry.getKey(), 0L),
-              moves);
+              transfers);
       sent.put(
           entry.getKey(),
-          entry.getValue().propose(spent -> shaper.shape(situation, spent, mayChange)));
+          entry.getValue().propose(spent -> calculator.calculate(teamState, spent, mayChange)));
     }
-    firstChange = teams.isEmpty() ? 0 : (firstChange + ShareChanges.MAX_CHANGES) % teams.size();
-    return new Proposal(sent, taken, transaction(read, sent, sentAtStoreMs));
+    rotationStart =
+        teams.isEmpty() ? 0 : (rotationStart + ShareChangeSelector.MAX_CHANGES) % teams.size();
+    return new Proposal(sent, taken, transaction(newSnapshot, sent, sentAtStoreMs));
   }
 
   /**
    * Notes who else is there, which only a read of all rows can change. Ranking a hundred instances
    * for dozens of teams with every renewal would take a small instance as long as its requests do.
    */
-  private void noteOthers(SpendingTables.Contents read) {
-    if (read.wholeAtStoreMs() == othersReadAtStoreMs) {
+  private void updatePeers(SpendingTable.Snapshot newSnapshot) {
+    if (newSnapshot.fullReadAtStoreMs() == peersReadAtStoreMs) {
       return;
     }
-    othersReadAtStoreMs = read.wholeAtStoreMs();
-    List<InstanceRecord> reachable = read.reachable(ownKey, row -> isInTouch(read, row));
-    if (!reachable.equals(others)) {
-      others = reachable;
+    peersReadAtStoreMs = newSnapshot.fullReadAtStoreMs();
+    List<InstanceRecord> reachable =
+        newSnapshot.reachable(ownKey, row -> isActive(newSnapshot, row));
+    if (!reachable.equals(peers)) {
+      peers = reachable;
       holders = new TeamHolders(self, reachable);
     }
   }
@@ -279,8 +286,8 @@
    * a runtime takes most of a second to start, in which a bound that opens by 300,000 tokens a
    * second over a fleet would burn as many.
    */
-  private void takeOver(SpendingTables.Contents read) {
-    InstanceSpending earlier = read.instance(ownKey);
+  private void recoverPreviousProcess(SpendingTable.Snapshot newSnapshot) {
+    InstanceSpending earlier = newSnapshot.instance(ownKey);
     InstanceSpending closed = earlier.closedAt(storeClock.latestMs(startedMs));
     teams.clear();
     closed
@@ -302,8 +309,10 @@
   }
 
   private Transaction transaction(
-      SpendingTables.Contents read, Map<String, TeamSpending.SentGrant> sent, long sentAtStoreMs) {
-    InstanceSpending before = read.instance(ownKey);
+      SpendingTable.Snapshot newSnapshot,
+      Map<String, TeamSpending.SentGrant> sent,
+      long sentAtStoreMs) {
+    InstanceSpending before = newSnapshot.instance(ownKey);
     Map<String, SpendingGrant> grants = new TreeMap<>();
     Transaction transaction = new Transaction(List.of(), List.of());
     for (Map.Entry<String, TeamSpending.SentGrant> entry : sent.entrySet()) {
@@ -312,82 +321,83 @@
       grants.put(team, grant);
       long change = grant.limitTokens() - before.grantOf(team).limitTokens();
       if (change != 0) {
-        Row teamRow = read.row(SpendingTables.teamKey(team));
-        long granted = read.grantedTokens(team) + change;
-        transaction = transaction.and(teamRow, SpendingTables.teamCells(granted));
+        Row teamRow = newSnapshot.row(SpendingTable.teamKey(team));
+        long granted = newSnapshot.grantedTokens(team) + change;
+        transaction = transaction.and(teamRow, SpendingTable.teamCells(granted));
       }
     }
     InstanceSpending next =
         new InstanceSpending(sentAtStoreMs, self.host(), self.peerPort(), self.domain(), grants);
-    return transaction.and(read.row(ownKey), next.toCells());
+    return transaction.and(newSnapshot.row(ownKey), next.toCells());
   }
 
-  private GrantShaper.Situation situation(
+  private GrantCalculator.TeamState teamState(
       String team,
       TeamSpending spending,
-      ForwardingPlan inForce,
-      SpendingTables.Contents read,
-      OthersSpending othersSpending,
+      ForwardingPlan currentPlan,
+      SpendingTable.Snapshot newSnapshot,
+      PeerSpending peerSpending,
       long wanted,
-      ShareChanges.Moves moves) {
-    OptionalLong prepaid = prepaidTokens(inForce, team);
-    OthersSpending.Sums sums = othersSpending.of(team);
-    return new GrantShaper.Situation(
+      ShareChangeSelector.AllowedTransfers transfers) {
+    OptionalLong prepaid = prepaidTokens(currentPlan, team);
+    PeerSpending.Totals sums = peerSpending.of(team);
+    return new GrantCalculator.TeamState(
         prepaid.orElse(0),
-        read.grantedTokens(team),
-        read.instance(ownKey).grantOf(team).limitTokens(),
+        newSnapshot.grantedTokens(team),
+        newSnapshot.instance(ownKey).grantOf(team).limitTokens(),
         sums.spentTokens(),
         sums.demandTokensPerS(),
-        othersSpending.inTouchCount(),
-        sums.silentLimitTokens(),
-        demandOf(team).tokensPerS(),
+        peerSpending.activeCount(),
+        sums.inactiveLimitTokens(),
+        demandOf(team).peakTokensPerS(),
         demandOf(team).averageTokensPerS(),
         spending.typicalTokens(),
         wanted,
-        holders.isSelf(team),
-        holders.countOfEach(),
-        moves.inTurn(),
-        moves.leaving() || prepaid.isEmpty());
+        holders.isHeldBySelf(team),
+        holders.holderCount(),
+        transfers.rebalance(),
+        transfers.returnAll() || prepaid.isEmpty());
   }
 
-  private static boolean isInTouch(SpendingTables.Contents read, InstanceSpending row) {
-    return read.wholeAtStoreMs() - row.sentAtStoreMs() < SILENT_MS;
+  private static boolean isActive(SpendingTable.Snapshot newSnapshot, InstanceSpending row) {
+    return newSnapshot.fullReadAtStoreMs() - row.sentAtStoreMs() < INACTIVE_AFTER_MS;
   }
 
-  private OthersSpending addUp(SpendingTables.Contents read) {
+  private PeerSpending totalPeerSpending(SpendingTable.Snapshot newSnapshot) {
     Map<Boolean, List<InstanceSpending>> rowsByInTouch =
-        read.others(ownKey).collect(Collectors.partitioningBy(row -> isInTouch(read, row)));
-    return new OthersSpending(
-        rowsByInTouch.get(true), rowsByInTouch.get(false), storeClock.nowMs());
+        newSnapshot
+            .peers(ownKey)
+            .collect(Collectors.partitioningBy(row -> isActive(newSnapshot, row)));
+    return new PeerSpending(rowsByInTouch.get(true), rowsByInTouch.get(false), storeClock.nowMs());
   }
 
   private Demand demandOf(String team) {
     return demands.computeIfAbsent(team, name -> new Demand());
   }
 
-  private void countDemand() {
+  private void updateDemand() {
     long nowMs = timers.nowMs();
-    long elapsedMs = nowMs - demandCountedMs;
-    if (elapsedMs < MIN_COUNTED_MS) {
+    long elapsedMs = nowMs - demandUpdatedMs;
+    if (elapsedMs < MIN_DEMAND_INTERVAL_MS) {
       return;
     }
-    demandCountedMs = nowMs;
+    demandUpdatedMs = nowMs;
     teams.forEach((name, spending) -> demandOf(name).update(spending.takeUsedTokens(), elapsedMs));
   }
 
   /** Notes that a row was written. */
   void confirm(Proposal proposal) {
-    takenOver = true;
-    proposal.wantedTokens().forEach((name, wanted) -> noteGot(proposal, name, wanted));
-    proposal.sent().forEach((name, grant) -> teams.get(name).confirm(grant));
+    initialized = true;
+    proposal.wantedTokens().forEach((name, wanted) -> recordReceived(proposal, name, wanted));
+    proposal.grants().forEach((name, grant) -> teams.get(name).confirm(grant));
   }
 
-  private void noteGot(Proposal proposal, String team, long wanted) {
-    Optional.ofNullable(proposal.sent().get(team))
+  private void recordReceived(Proposal proposal, String team, long wanted) {
+    Optional.ofNullable(proposal.grants().get(team))
         .map(
             sent ->
-                sent.grant().limitTokens() - contents.instance(ownKey).grantOf(team).limitTokens())
-        .ifPresent(got -> shortages.onWritten(team, wanted, got));
+                sent.grant().limitTokens() - snapshot.instance(ownKey).grantOf(team).limitTokens())
+        .ifPresent(receivedTokens -> shortages.onWritten(team, wanted, receivedTokens));
   }
 
   /**
@@ -400,6 +410,6 @@
   void retract(Proposal proposal) {
     proposal.wantedTokens().keySet().forEach(shortages::onConflict);
     proposal.wantedTokens().forEach(wanted::add);
-    proposal.sent().forEach((name, grant) -> teams.get(name).retract(grant));
+    proposal.grants().forEach((name, grant) -> teams.get(name).retract(grant));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTables.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTable.java
@@ -17,7 +17,7 @@
 import java.util.stream.Stream;
 
 /** The rows about spending in the platform's table. */
-final class SpendingTables {
+final class SpendingTable {
 
   static final String TABLE = "spending";
 
@@ -29,9 +29,9 @@
   private static final String GRANTED = "granted";
 
   /** More than any budget, and far from the largest number that sums may reach. */
-  private static final long ALL_GRANTED = Long.MAX_VALUE / 4;
+  private static final long FULLY_GRANTED_TOKENS = Long.MAX_VALUE / 4;
 
-  private SpendingTables() {}
+  private SpendingTable() {}
 
   static RowKey instanceKey(String instanceId) {
     return new RowKey(TABLE, INSTANCE_PREFIX + instanceId);
@@ -50,41 +50,41 @@
    *
    * @param byKey the rows by key
    * @param instances the instances' rows, by key
-   * @param wholeAtStoreMs when the rows of all instances were read, by the store's clock
-   * @param teamsAtStoreMs when the rows of all teams were read
+   * @param fullReadAtStoreMs when the rows of all instances were read, by the store's clock
+   * @param teamsReadAtStoreMs when the rows of all teams were read
    */
-  record Contents(
+  record Snapshot(
       Map<RowKey, Row> byKey,
       Map<RowKey, InstanceSpending> instances,
-      long wholeAtStoreMs,
-      long teamsAtStoreMs) {
+      long fullReadAtStoreMs,
+      long teamsReadAtStoreMs) {
 
-    static final Contents EMPTY = new Contents(Map.of(), Map.of(), 0, 0);
+    static final Snapshot EMPTY = new Snapshot(Map.of(), Map.of(), 0, 0);
 
-    static Contents of(List<Row> rows, long wholeAtStoreMs) {
+    static Snapshot of(List<Row> rows, long wholeAtStoreMs) {
       Map<RowKey, Row> byKey =
           rows.stream().collect(Collectors.toMap(Row::key, Function.identity()));
       Map<RowKey, InstanceSpending> instances =
           rows.stream()
               .filter(row -> row.key().key().startsWith(INSTANCE_PREFIX))
               .collect(Collectors.toMap(Row::key, row -> InstanceSpending.read(row.cells())));
-      return new Contents(byKey, instances, wholeAtStoreMs, wholeAtStoreMs);
+      return new Snapshot(byKey, instances, wholeAtStoreMs, wholeAtStoreMs);
     }
 
     /** Takes the rows of all teams, and others, in place of those that are known. */
-    Contents withTeams(List<Row> rows, long readAtStoreMs) {
-      Contents newer = withNewer(rows);
-      return new Contents(newer.byKey(), newer.instances(), wholeAtStoreMs, readAtStoreMs);
+    Snapshot withTeams(List<Row> rows, long readAtStoreMs) {
+      Snapshot newer = withUpdated(rows);
+      return new Snapshot(newer.byKey(), newer.instances(), fullReadAtStoreMs, readAtStoreMs);
     }
 
     /** Takes newer rows in place of those that are known; the others stay as they are. */
-    Contents withNewer(List<Row> rows) {
-      Contents newer = of(rows, wholeAtStoreMs);
+    Snapshot withUpdated(List<Row> rows) {
+      Snapshot newer = of(rows, fullReadAtStoreMs);
       Map<RowKey, Row> allRows = new HashMap<>(byKey);
       allRows.putAll(newer.byKey());
       Map<RowKey, InstanceSpending> allInstances = new HashMap<>(instances);
       allInstances.putAll(newer.instances());
-      return new Contents(allRows, allInstances, wholeAtStoreMs, teamsAtStoreMs);
+      return new Snapshot(allRows, allInstances, fullReadAtStoreMs, teamsReadAtStoreMs);
     }
 
     Row row(RowKey key) {
@@ -95,7 +95,7 @@
       return instances.getOrDefault(key, InstanceSpending.NONE);
     }
 
-    Stream<InstanceSpending> others(RowKey ownKey) {
+    Stream<InstanceSpending> peers(RowKey ownKey) {
       return instances.entrySet().stream()
           .filter(entry -> !entry.getKey().equals(ownKey))
           .map(Map.Entry::getValue);
@@ -113,12 +113,12 @@
       record Lender(InstanceRecord instance, double rank) {}
 
       return withAddress(ownKey)
-          .filter(entry -> entry.getValue().grantOf(team).holdingTokens() > 0)
+          .filter(entry -> entry.getValue().grantOf(team).heldTokens() > 0)
           .map(
               entry ->
                   new Lender(
                       record(entry.getKey(), entry.getValue()),
-                      entry.getValue().grantOf(team).holdingTokens() * random.nextDouble(0.5, 1)))
+                      entry.getValue().grantOf(team).heldTokens() * random.nextDouble(0.5, 1)))
           .sorted(
               Comparator.comparing((Lender lender) -> holderIds.contains(lender.instance().id()))
                   .thenComparingDouble(Lender::rank)
@@ -128,11 +128,11 @@
     }
 
     /** Gives what other instances hold of a team's budget, but for its holders. */
-    long heldOutside(RowKey ownKey, String team, Set<String> holderIds) {
+    long heldOutsideHolders(RowKey ownKey, String team, Set<String> holderIds) {
       return instances.entrySet().stream()
           .filter(entry -> !entry.getKey().equals(ownKey))
           .filter(entry -> !holderIds.contains(idOf(entry.getKey())))
-          .mapToLong(entry -> entry.getValue().grantOf(team).holdingTokens())
+          .mapToLong(entry -> entry.getValue().grantOf(team).heldTokens())
           .sum();
     }
 
@@ -141,9 +141,9 @@
     }
 
     /** Lists the other instances that can be reached, in the order of their ids. */
-    List<InstanceRecord> reachable(RowKey ownKey, Predicate<InstanceSpending> inTouch) {
+    List<InstanceRecord> reachable(RowKey ownKey, Predicate<InstanceSpending> active) {
       return withAddress(ownKey)
-          .filter(entry -> inTouch.test(entry.getValue()))
+          .filter(entry -> active.test(entry.getValue()))
           .map(entry -> record(entry.getKey(), entry.getValue()))
           .sorted(Comparator.comparing(InstanceRecord::id))
           .toList();
@@ -169,10 +169,10 @@
      */
     long grantedTokens(String team) {
       Row row = row(teamKey(team));
-      boolean understood =
+      boolean valid =
           row.cells().find(GRANTED).filter(Long.class::isInstance).isPresent()
               && row.cells().number(GRANTED) >= 0;
-      return row.exists() && !understood ? ALL_GRANTED : row.cells().number(GRANTED);
+      return row.exists() && !valid ? FULLY_GRANTED_TOKENS : row.cells().number(GRANTED);
     }
 
     /** Gives what no instance's limit covers; negative while more is granted than was paid. */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
@@ -26,8 +26,8 @@
 
   private final InstanceRecord self;
   private final Map<String, List<InstanceRecord>> byDomain;
-  private final Map<String, List<InstanceRecord>> ranked = new ConcurrentHashMap<>();
-  private final Map<String, List<InstanceRecord>> ofDomains = new ConcurrentHashMap<>();
+  private final Map<String, List<InstanceRecord>> rankedByTeam = new ConcurrentHashMap<>();
+  private final Map<String, List<InstanceRecord>> holdersByTeam = new ConcurrentHashMap<>();
 
   /**
    * Works out the holders.
@@ -43,21 +43,22 @@
   }
 
   private List<InstanceRecord> rankedFor(String team) {
-    return ranked.computeIfAbsent(team, name -> Rendezvous.rank(name, byDomain.get(self.domain())));
+    return rankedByTeam.computeIfAbsent(
+        team, name -> Rendezvous.rank(name, byDomain.get(self.domain())));
   }
 
   /** Says whether this instance holds a team's tokens for its domain. */
-  boolean isSelf(String team) {
+  boolean isHeldBySelf(String team) {
     return rankedFor(team).get(0).id().equals(self.id());
   }
 
   /** Lists the ids of a team's holders, one of each domain. */
-  Set<String> idsFor(String team) {
+  Set<String> holderIds(String team) {
     return holdersOf(team).stream().map(InstanceRecord::id).collect(Collectors.toSet());
   }
 
   private List<InstanceRecord> holdersOf(String team) {
-    return ofDomains.computeIfAbsent(
+    return holdersByTeam.computeIfAbsent(
         team,
         name ->
             byDomain.values().stream()
@@ -72,7 +73,7 @@
    * <p>Failure: what each holder has ready is less than a long prompt costs. Symptom: its request
    * waits for the table, though the holders together have several times as much ready.
    */
-  List<InstanceRecord> inOrderFor(String team) {
+  List<InstanceRecord> otherHolders(String team) {
     return Rendezvous.rank(self.id(), holdersOf(team)).stream()
         .filter(holder -> !holder.id().equals(self.id()))
         .sorted(Comparator.comparing(holder -> holder.domain().equals(self.domain()) ? 0 : 1))
@@ -80,7 +81,7 @@
   }
 
   /** Gives the number of holders of each team: one in each domain. */
-  int countOfEach() {
+  int holderCount() {
     return byDomain.size();
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
@@ -21,12 +21,12 @@
   private static final double NEWEST_WEIGHT = 0.1;
 
   /** A request is put together from so many pieces at the most; smaller ones help too little. */
-  static final long MAX_PIECES = 4;
+  static final long MAX_PARTS = 4;
 
   private final Timers timers;
   private final AtomicLong spentTokens;
-  private final AtomicLong usedSinceTickTokens = new AtomicLong();
-  private final AtomicReference<List<SentGrant>> possible;
+  private final AtomicLong usedSinceLastTakeTokens = new AtomicLong();
+  private final AtomicReference<List<SentGrant>> possibleGrants;
   private volatile double typicalTokens;
 
   /**
@@ -39,7 +39,7 @@
     this.timers = timers;
     this.spentTokens = new AtomicLong(spentTokens);
     SpendingGrant closed = new SpendingGrant(spentTokens, spentTokens, 0, 0, 0, 0);
-    this.possible = new AtomicReference<>(List.of(new SentGrant(closed, timers.nowMs())));
+    this.possibleGrants = new AtomicReference<>(List.of(new SentGrant(closed, timers.nowMs())));
   }
 
   /**
@@ -62,16 +62,16 @@
    * @return true when they are set aside
    */
   public boolean tryReserve(long tokens) {
-    if (!tryTake(tokens)) {
+    if (!tryAdd(tokens)) {
       return false;
     }
-    usedSinceTickTokens.addAndGet(tokens);
-    noteSize(tokens);
+    usedSinceLastTakeTokens.addAndGet(tokens);
+    recordRequestSize(tokens);
     return true;
   }
 
   /** Adds first and looks then, so that a row that is proposed meanwhile is not exceeded. */
-  private boolean tryTake(long tokens) {
+  private boolean tryAdd(long tokens) {
     if (spentTokens.addAndGet(tokens) <= boundTokens()) {
       return true;
     }
@@ -85,13 +85,13 @@
    * @param tokens at most as many
    * @return what was set aside, maybe nothing
    */
-  SpendingPiece reserveUpTo(long tokens) {
-    long taken = Math.min(tokens, freeTokens());
-    if (taken == 0 || !tryTake(taken)) {
-      return SpendingPiece.NONE;
+  PartialReservation reserveUpTo(long tokens) {
+    long taken = Math.min(tokens, availableTokens());
+    if (taken == 0 || !tryAdd(taken)) {
+      return PartialReservation.NONE;
     }
-    usedSinceTickTokens.addAndGet(taken);
-    return new SpendingPiece(taken, usedTokens -> settle(taken, usedTokens));
+    usedSinceLastTakeTokens.addAndGet(taken);
+    return new PartialReservation(taken, usedTokens -> settle(taken, usedTokens));
   }
 
   /**
@@ -99,12 +99,12 @@
    *
    * @return tokens
    */
-  long freeTokens() {
+  long availableTokens() {
     return Math.max(0, boundTokens() - spentTokens.get());
   }
 
   /** Notes the size of a request, also of one that is served from loans. */
-  void noteSize(long tokens) {
+  void recordRequestSize(long tokens) {
     double weight = typicalTokens == 0 ? 1 : NEWEST_WEIGHT;
     typicalTokens += weight * (tokens - typicalTokens);
   }
@@ -118,7 +118,7 @@
   public void settle(long reservedTokens, long usedTokens) {
     long returned = reservedTokens - Math.min(reservedTokens, usedTokens);
     spentTokens.addAndGet(-returned);
-    usedSinceTickTokens.addAndGet(-returned);
+    usedSinceLastTakeTokens.addAndGet(-returned);
   }
 
   /**
@@ -131,17 +131,18 @@
    * @return what was set aside; 0 when there is too little
    */
   public long lend(long needTokens, long wantedTokens, long divisor) {
-    long free = freeTokens();
-    long lent = Math.min(free, Math.max(needTokens, Math.min(wantedTokens, free / divisor)));
-    return lent >= Math.max(1, needTokens / MAX_PIECES) && tryLend(lent, needTokens) ? lent : 0;
+    long available = availableTokens();
+    long lent =
+        Math.min(available, Math.max(needTokens, Math.min(wantedTokens, available / divisor)));
+    return lent >= Math.max(1, needTokens / MAX_PARTS) && tryLend(lent, needTokens) ? lent : 0;
   }
 
   private boolean tryLend(long tokens, long needTokens) {
-    if (!tryTake(tokens)) {
+    if (!tryAdd(tokens)) {
       return false;
     }
-    usedSinceTickTokens.addAndGet(tokens);
-    noteSize(needTokens);
+    usedSinceLastTakeTokens.addAndGet(tokens);
+    recordRequestSize(needTokens);
     return true;
   }
 
@@ -150,9 +151,9 @@
    *
    * @param tokens how many
    */
-  public void takeBack(long tokens) {
+  public void returnLoan(long tokens) {
     spentTokens.addAndGet(-tokens);
-    usedSinceTickTokens.addAndGet(-tokens);
+    usedSinceLastTakeTokens.addAndGet(-tokens);
   }
 
   /**
@@ -165,7 +166,8 @@
     long nowMs = timers.nowMs();
     while (true) {
       SentGrant sent = new SentGrant(shape.apply(spentTokens.get()), nowMs);
-      possible.updateAndGet(before -> Stream.concat(before.stream(), Stream.of(sent)).toList());
+      possibleGrants.updateAndGet(
+          before -> Stream.concat(before.stream(), Stream.of(sent)).toList());
       if (spentTokens.get() <= sent.boundAt(nowMs)) {
         return sent;
       }
@@ -180,7 +182,7 @@
    * @param sent the grant
    */
   public void confirm(SentGrant sent) {
-    possible.set(List.of(sent));
+    possibleGrants.set(List.of(sent));
   }
 
   /**
@@ -189,7 +191,7 @@
    * @param sent the grant
    */
   public void retract(SentGrant sent) {
-    possible.updateAndGet(before -> before.stream().filter(other -> other != sent).toList());
+    possibleGrants.updateAndGet(before -> before.stream().filter(other -> other != sent).toList());
   }
 
   /**
@@ -199,7 +201,7 @@
    */
   public long boundTokens() {
     long nowMs = timers.nowMs();
-    return possible.get().stream().mapToLong(sent -> sent.boundAt(nowMs)).min().orElse(0);
+    return possibleGrants.get().stream().mapToLong(sent -> sent.boundAt(nowMs)).min().orElse(0);
   }
 
   /**
@@ -208,7 +210,10 @@
    * @return tokens, counted like those spent
    */
   public long limitTokens() {
-    return possible.get().stream().mapToLong(sent -> sent.grant().limitTokens()).min().orElse(0);
+    return possibleGrants.get().stream()
+        .mapToLong(sent -> sent.grant().limitTokens())
+        .min()
+        .orElse(0);
   }
 
   /**
@@ -220,8 +225,8 @@
   public long waitMs(long tokens) {
     long nowMs = timers.nowMs();
     long wanted = spentTokens.get() + tokens;
-    return possible.get().stream()
-        .mapToLong(sent -> sent.grant().silenceUntilMs(wanted) - (nowMs - sent.sentAtMs()))
+    return possibleGrants.get().stream()
+        .mapToLong(sent -> sent.grant().timeToReachMs(wanted) - (nowMs - sent.sentAtMs()))
         .map(waitMs -> Math.max(0, waitMs))
         .max()
         .orElse(SpendingGrant.NEVER_MS);
@@ -251,6 +256,6 @@
    * @return tokens
    */
   public long takeUsedTokens() {
-    return usedSinceTickTokens.getAndSet(0);
+    return usedSinceLastTakeTokens.getAndSet(0);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
@@ -9,37 +9,38 @@
  *
  * @param prepaidTokens all that the team may ever spend
  * @param unassignedTokens what no instance's limit covers; negative while too much is granted
- * @param othersHeldTokens what other instances' rows hold beyond what they have spent
- * @param othersReadyTokens the part of it that was near when these rows were sent
+ * @param peersHeldTokens what other instances' rows hold beyond what they have spent
+ * @param peersImmediateTokens the part of it that was near when these rows were sent
  * @param rowsAgeMs how old the rows of the others are
  */
 record TeamTokens(
     long prepaidTokens,
     long unassignedTokens,
-    long othersHeldTokens,
-    long othersReadyTokens,
+    long peersHeldTokens,
+    long peersImmediateTokens,
     long rowsAgeMs) {
 
   static TeamTokens of(
-      SpendingTables.Contents contents, RowKey ownKey, TeamPlan team, long nowStoreMs) {
+      SpendingTable.Snapshot contents, RowKey ownKey, TeamPlan team, long nowStoreMs) {
     long prepaidTokens = team.prepaidTokens().orElse(0);
     List<SpendingGrant> others =
-        contents.others(ownKey).map(row -> row.grantOf(team.name())).toList();
+        contents.peers(ownKey).map(row -> row.grantOf(team.name())).toList();
     return new TeamTokens(
         prepaidTokens,
         contents.unassignedTokens(team.name(), prepaidTokens),
-        others.stream().mapToLong(SpendingGrant::holdingTokens).sum(),
-        others.stream().mapToLong(SpendingGrant::nearTokens).sum(),
-        nowStoreMs - contents.wholeAtStoreMs());
+        others.stream().mapToLong(SpendingGrant::heldTokens).sum(),
+        others.stream().mapToLong(SpendingGrant::immediateTokens).sum(),
+        nowStoreMs - contents.fullReadAtStoreMs());
   }
 
   /** Says whether the table alone could have paid for a request. */
-  boolean isCoveredByTable(long tokens) {
+  boolean isCoveredByUnassigned(long tokens) {
     return unassignedTokens >= tokens;
   }
 
   String describe() {
     return "unassigned %d of %d, others hold %d with %d ready, their rows %d ms old"
-        .formatted(unassignedTokens, prepaidTokens, othersHeldTokens, othersReadyTokens, rowsAgeMs);
+        .formatted(
+            unassignedTokens, prepaidTokens, peersHeldTokens, peersImmediateTokens, rowsAgeMs);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingSearch.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TokenReserver.java
@@ -8,7 +8,7 @@
  * Looks for one request's tokens: here, at the holders of its team, in the table, and where the
  * store is silent at whoever has some.
  */
-final class SpendingSearch {
+final class TokenReserver {
 
   /** Waits of one request, for a renewal or for the bound to open, before it is refused. */
   private static final int MAX_WAITS = 3;
@@ -23,10 +23,10 @@
    * Longest wait for the bound to open after no instance could lend: a caller that is sent away
    * comes back no earlier, and to an instance that may have as little.
    */
-  private static final long MAX_OPENING_WAIT_MS = 1_000;
+  private static final long MAX_RELEASE_WAIT_MS = 1_000;
 
   /** A loan is for so many requests like the one that needs it, so that few loans are needed. */
-  private static final long BORROW_REQUESTS = 3;
+  private static final long LOAN_REQUESTS = 3;
 
   /**
    * Rounds of asking for loans while the store is out of reach. Tokens open at the holders while a
@@ -38,36 +38,36 @@
    * A request that found too little has just asked for a renewal: if the last one is older than
    * this, the store does not answer, and more rounds may help.
    */
-  private static final long JUST_RENEWED_MS = 600;
+  private static final long RECENT_RENEWAL_MS = 600;
 
   /** Pause between two rounds: a holder opens a usual request's worth in about a second. */
-  private static final long LOAN_ROUND_MS = 300;
+  private static final long LOAN_RETRY_MS = 300;
 
   /** A loan covers so many seconds of the demand here. */
-  private static final long BORROW_S = 2;
+  private static final long LOAN_DEMAND_S = 2;
 
-  private final SpendingRows rows;
+  private final SpendingState state;
   private final SpendingLoans loans;
   private final SpendingRenewal renewal;
   private final SpendingRefusals refusals;
-  private final SpendingLoans.Growth growth;
-  private final ReadyTokens ready;
-  private final Waits waits;
+  private final SpendingLoans.Refill refill;
+  private final LocalTokens localTokens;
+  private final Timeouts timeouts;
 
-  SpendingSearch(
-      SpendingRows rows,
+  TokenReserver(
+      SpendingState state,
       SpendingLoans loans,
       SpendingRenewal renewal,
       SpendingRefusals refusals,
-      SpendingLoans.Growth growth,
-      Waits waits) {
-    this.rows = rows;
+      SpendingLoans.Refill refill,
+      Timeouts waits) {
+    this.state = state;
     this.loans = loans;
     this.renewal = renewal;
     this.refusals = refusals;
-    this.growth = growth;
-    this.ready = new ReadyTokens(rows, loans);
-    this.waits = waits;
+    this.refill = refill;
+    this.localTokens = new LocalTokens(state, loans);
+    this.timeouts = waits;
   }
 
   /** Sets tokens aside; fails with {@link SpendingException}. */
@@ -77,7 +77,7 @@
 
   private CompletableFuture<SpendingReservation> tryReserveOr(
       TeamPlan team, long tokens, Supplier<CompletableFuture<SpendingReservation>> otherwise) {
-    return ready
+    return localTokens
         .tryReserve(team.name(), tokens)
         .map(CompletableFuture::completedFuture)
         .orElseGet(otherwise);
@@ -85,11 +85,11 @@
 
   /** Takes what the holders of the team have ready, wherever they are, then asks the table. */
   private CompletableFuture<SpendingReservation> reserveElsewhere(TeamPlan team, long tokens) {
-    if (!rows.isTakenOver()) {
+    if (!state.isInitialized()) {
       return reserveAfterWait(team, tokens, MAX_WAITS);
     }
     return refusals
-        .ofSpent(team, tokens)
+        .ifBudgetSpent(team, tokens)
         .map(CompletableFuture::<SpendingReservation>failedFuture)
         .orElseGet(() -> reserveFromHolders(team, tokens));
   }
@@ -97,34 +97,37 @@
   private CompletableFuture<SpendingReservation> reserveFromHolders(TeamPlan team, long tokens) {
     String name = team.name();
     return loans
-        .borrowReady(name, ready.lackingTokens(name, tokens), rows.holders().inOrderFor(name))
-        .thenCompose(asked -> tryReserveOr(team, tokens, () -> reserveGrown(team, tokens)));
+        .borrowAvailable(
+            name, localTokens.missingTokens(name, tokens), state.holders().otherHolders(name))
+        .thenCompose(asked -> tryReserveOr(team, tokens, () -> reserveWithRefill(team, tokens)));
   }
 
   /** Lets the holders of the team make more ready and get more from the table, this one first. */
-  private CompletableFuture<SpendingReservation> reserveGrown(TeamPlan team, long tokens) {
-    if (!rows.holders().isSelf(team.name())) {
-      return borrowGrown(team, tokens, true);
+  private CompletableFuture<SpendingReservation> reserveWithRefill(TeamPlan team, long tokens) {
+    if (!state.holders().isHeldBySelf(team.name())) {
+      return borrowWithRefill(team, tokens, true);
     }
-    return growth
-        .grow(team.name(), tokens)
+    return refill
+        .refill(team.name(), tokens)
         .orElseGet(() -> CompletableFuture.completedFuture(false))
-        .thenCompose(grown -> tryReserveOr(team, tokens, () -> borrowGrown(team, tokens, grown)));
+        .thenCompose(
+            grown -> tryReserveOr(team, tokens, () -> borrowWithRefill(team, tokens, grown)));
   }
 
-  private CompletableFuture<SpendingReservation> borrowGrown(
-      TeamPlan team, long tokens, boolean sureHere) {
+  private CompletableFuture<SpendingReservation> borrowWithRefill(
+      TeamPlan team, long tokens, boolean exhaustedHere) {
     String name = team.name();
     return loans
-        .borrowGrown(name, ready.lackingTokens(name, tokens), rows.holders().inOrderFor(name))
+        .borrowWithRefill(
+            name, localTokens.missingTokens(name, tokens), state.holders().otherHolders(name))
         .thenCompose(
             outcome ->
                 tryReserveOr(
                     team,
                     tokens,
                     () ->
-                        sureHere && outcome.isNone()
-                            ? reserveFromOthers(team, tokens)
+                        exhaustedHere && outcome.isInsufficient()
+                            ? reserveFromNonHolders(team, tokens)
                             : reserveAfterWait(team, tokens, MAX_WAITS)));
   }
 
@@ -132,27 +135,27 @@
    * Neither the holders nor the table have enough; other instances may hold what they did not hand
    * back.
    */
-  private CompletableFuture<SpendingReservation> reserveFromOthers(TeamPlan team, long tokens) {
-    if (rows.areTokensElsewhere(team.name(), tokens)) {
+  private CompletableFuture<SpendingReservation> reserveFromNonHolders(TeamPlan team, long tokens) {
+    if (state.isHeldOutsideHolders(team.name(), tokens)) {
       return reserveAfterWait(team, tokens, MAX_WAITS);
     }
-    loans.handBack(team.name());
+    loans.returnUnspent(team.name());
     return refuse(team, tokens);
   }
 
   private CompletableFuture<SpendingReservation> refuse(TeamPlan team, long tokens) {
-    return CompletableFuture.failedFuture(refusals.of(team, tokens));
+    return CompletableFuture.failedFuture(refusals.refusalFor(team, tokens));
   }
 
   private CompletableFuture<SpendingReservation> reserveAfterWait(
       TeamPlan team, long tokens, int waits) {
-    long opensInMs = opensInMs(team, tokens);
-    boolean renewing = !rows.isTakenOver() || renewal.isInTouch();
-    boolean useless = renewing && rows.isSurelyNone(team.name(), tokens);
-    if (waits == 0 || useless || !renewing && opensInMs > MAX_WAIT_MS) {
+    long releasedInMs = releasedInMs(team, tokens);
+    boolean renewing = !state.isInitialized() || renewal.isStoreReachable();
+    boolean futile = renewing && state.isKnownInsufficient(team.name(), tokens);
+    if (waits == 0 || futile || !renewing && releasedInMs > MAX_WAIT_MS) {
       return reserveFromLoan(team, tokens);
     }
-    return awaitTokens(team.name(), tokens, renewing, opensInMs)
+    return awaitTokens(team.name(), tokens, renewing, releasedInMs)
         .thenCompose(
             renewed ->
                 tryReserveOr(
@@ -163,13 +166,14 @@
 
   /** Completes with true when the row was renewed, and with false when it was not in time. */
   private CompletableFuture<Boolean> awaitTokens(
-      String team, long tokens, boolean renewing, long opensInMs) {
+      String team, long tokens, boolean renewing, long releasedInMs) {
     if (!renewing) {
-      return waits.within(new CompletableFuture<>(), Math.min(MAX_WAIT_MS, opensInMs));
+      return timeouts.completeWithin(
+          new CompletableFuture<>(), Math.min(MAX_WAIT_MS, releasedInMs));
     }
-    SpendingRenewal.Asked asked = renewal.askFor(team, tokens);
-    long limitMs = asked.isTooLate() ? MAX_WAIT_MS : asked.sentInMs() + MAX_WAIT_MS;
-    return waits.within(asked.renewed(), Math.min(limitMs, opensInMs));
+    SpendingRenewal.RequestedRenewal asked = renewal.requestTokens(team, tokens);
+    long limitMs = asked.isTooLate() ? MAX_WAIT_MS : asked.delayMs() + MAX_WAIT_MS;
+    return timeouts.completeWithin(asked.renewed(), Math.min(limitMs, releasedInMs));
   }
 
   /**
@@ -177,11 +181,11 @@
    * before the first row nobody can.
    */
   private int waitsLeft(boolean renewed, int waits) {
-    return renewed || !rows.isTakenOver() ? waits : 0;
+    return renewed || !state.isInitialized() ? waits : 0;
   }
 
   private CompletableFuture<SpendingReservation> reserveFromLoan(TeamPlan team, long tokens) {
-    return rows.isTakenOver() && !renewal.isLeaving()
+    return state.isInitialized() && !renewal.isReturningAll()
         ? reserveFromLoan(team, tokens, MAX_LOAN_ROUNDS)
         : refuse(team, tokens);
   }
@@ -196,34 +200,35 @@
 
   private CompletableFuture<SpendingReservation> reserveLater(
       TeamPlan team, long tokens, int rounds) {
-    loans.handBack(team.name());
-    if (rounds == 0 || renewal.sinceRenewalMs() < JUST_RENEWED_MS) {
-      return reserveWhenOpen(team, tokens);
+    loans.returnUnspent(team.name());
+    if (rounds == 0 || renewal.renewalAgeMs() < RECENT_RENEWAL_MS) {
+      return reserveWhenReleased(team, tokens);
     }
-    return waits
-        .pause(LOAN_ROUND_MS)
+    return timeouts
+        .delay(LOAN_RETRY_MS)
         .thenCompose(
             over -> tryReserveOr(team, tokens, () -> reserveFromLoan(team, tokens, rounds)));
   }
 
   private CompletableFuture<Void> borrow(TeamPlan team, long tokens) {
     String name = team.name();
-    long wanted = Math.max(BORROW_REQUESTS * tokens, BORROW_S * rows.demandTokensPerS(name));
-    return loans.borrow(name, ready.lackingTokens(name, tokens), wanted, rows.lenders(name));
+    long wanted = Math.max(LOAN_REQUESTS * tokens, LOAN_DEMAND_S * state.demandTokensPerS(name));
+    return loans.borrow(name, localTokens.missingTokens(name, tokens), wanted, state.lenders(name));
   }
 
-  private CompletableFuture<SpendingReservation> reserveWhenOpen(TeamPlan team, long tokens) {
-    long opensInMs = opensInMs(team, tokens);
-    if (opensInMs > MAX_OPENING_WAIT_MS) {
+  private CompletableFuture<SpendingReservation> reserveWhenReleased(TeamPlan team, long tokens) {
+    long releasedInMs = releasedInMs(team, tokens);
+    if (releasedInMs > MAX_RELEASE_WAIT_MS) {
       return refuse(team, tokens);
     }
-    return waits
-        .pause(opensInMs)
+    return timeouts
+        .delay(releasedInMs)
         .thenCompose(over -> tryReserveOr(team, tokens, () -> refuse(team, tokens)));
   }
 
-  private long opensInMs(TeamPlan team, long tokens) {
-    return rows.find(team.name())
+  private long releasedInMs(TeamPlan team, long tokens) {
+    return state
+        .find(team.name())
         .map(spending -> spending.waitMs(tokens))
         .orElse(SpendingGrant.NEVER_MS);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/WantedTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/WantedTokens.java
@@ -25,12 +25,12 @@
   /**
    * Takes what requests waited for when a renewal began, unless another one has taken it since.
    *
-   * @param noted what they waited for then
+   * @param wantedAtStart what they waited for then
    * @return what is left of it
    */
-  Map<String, Long> take(Map<String, Long> noted) {
+  Map<String, Long> take(Map<String, Long> wantedAtStart) {
     Map<String, Long> taken = new HashMap<>();
-    noted.forEach(
+    wantedAtStart.forEach(
         (team, tokens) ->
             byTeam.computeIfPresent(
                 team,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
@@ -4,17 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-class DemandSharesTest {
+class DemandSharePolicyTest {
 
   private static final long LEFT_TOKENS = 7_000_000;
   private static final long TYPICAL_TOKENS = 5_000;
   private static final int INSTANCES = 70;
 
-  private final SharePolicy policy = new DemandShares();
+  private final SharePolicy policy = new DemandSharePolicy();
 
   private long holding(long ownTokensPerS, long allTokensPerS) {
-    return policy.holdingTokens(
-        new SharePolicy.Situation(
+    return policy.targetTokens(
+        new SharePolicy.Input(
             LEFT_TOKENS, ownTokensPerS, allTokensPerS, INSTANCES, TYPICAL_TOKENS));
   }
 
@@ -45,8 +45,8 @@
   @Test
   void holdsNothingWhenTheSharesAreSmallerThanOneRequest() {
     long holding =
-        policy.holdingTokens(
-            new SharePolicy.Situation(
+        policy.targetTokens(
+            new SharePolicy.Input(
                 INSTANCES * TYPICAL_TOKENS - 1, 100, 7_000, INSTANCES, TYPICAL_TOKENS));
 
     assertThat(holding).isEqualTo(0);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
@@ -31,13 +31,13 @@
   private static final long BEFORE_TRAFFIC_MS = 18_000;
 
   /** Teams whose callers all come to one instance, and that instance. */
-  private static final int[][] BOUND_TEAMS = {{1, 20}, {5, 70}};
+  private static final int[][] PINNED_TEAMS = {{1, 20}, {5, 70}};
 
   /** The engine reads the prompt in the other half of the time that callers hope for. */
-  private static final int PART_OF_AIM = 2;
+  private static final int TARGET_LATENCY_DIVISOR = 2;
 
   /** A request is owed if it fits into so much of the budget at its most. */
-  private static final double OWED_SHARE = 0.97;
+  private static final double ENTITLED_SHARE = 0.97;
 
   /** One kind of request, with the logarithm of sizes spread normally. */
   private record Kind(
@@ -60,14 +60,14 @@
 
   private static final UnevenTeams UNEVEN = new UnevenTeams(TEAMS);
 
-  final SpendingWorld world;
+  final SpendingSimulation world;
   private final List<String> teams = UNEVEN.names();
   private final List<Long> budgets;
-  private final List<SpendingWorld.Member> members = new ArrayList<>();
+  private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private final long[] usedTokens = new long[TEAMS];
   private final long[] reservedTokens = new long[TEAMS];
   private final List<Request> requests = new ArrayList<>();
-  private double due;
+  private double dueRequests;
   private boolean cut;
   private int hotTeams;
   private double hotShare;
@@ -80,7 +80,7 @@
    */
   FleetLoad(long budgetS, long seed) {
     this.budgets = budgets(budgetS);
-    this.world = new SpendingWorld(teams, budgets, seed);
+    this.world = new SpendingSimulation(teams, budgets, seed);
   }
 
   /** One request of a caller, at its first instance or at a second one. */
@@ -88,7 +88,7 @@
     private final Kind kind;
     private final int team;
     private final long tokens;
-    private final boolean owed;
+    private final boolean entitled;
     private final long askedMs;
     private final List<Long> refusedAfterMs = new ArrayList<>();
     private boolean servedInTime;
@@ -97,7 +97,7 @@
       this.kind = kind;
       this.team = team;
       this.tokens = tokens;
-      this.owed = owed;
+      this.entitled = owed;
       this.askedMs = askedMs;
     }
   }
@@ -109,23 +109,23 @@
 
   /** Starts all instances, before any caller comes. */
   void start() {
-    world.writeOneByOne(WRITE_MS);
+    world.serializeWrites(WRITE_MS);
     world.delayPeers(PEER_MS);
     startAll();
     world.timers.advanceMs(BEFORE_TRAFFIC_MS);
   }
 
   private void startAll() {
-    members.clear();
+    instances.clear();
     for (int domain = 0; domain < INSTANCES_BY_DOMAIN.length; domain++) {
       for (int place = 0; place < INSTANCES_BY_DOMAIN[domain]; place++) {
-        int started = members.size();
+        int started = instances.size();
         world.timers.advanceMs(
             START_SPREAD_MS * (started + 1) / ALL_INSTANCES
                 - START_SPREAD_MS * started / ALL_INSTANCES);
-        SpendingWorld.Member member = world.start("domain" + domain + "-" + place);
+        SpendingSimulation.SimulatedInstance member = world.start("domain" + domain + "-" + place);
         member.cutFromTable = cut;
-        members.add(member);
+        instances.add(member);
       }
     }
   }
@@ -133,19 +133,19 @@
   /** Cuts all instances off from the store. */
   void cut() {
     cut = true;
-    members.forEach(member -> member.cutFromTable = true);
+    instances.forEach(member -> member.cutFromTable = true);
   }
 
   /** Ends the cut. */
-  void heal() {
+  void reconnectStore() {
     cut = false;
-    members.forEach(member -> member.cutFromTable = false);
+    instances.forEach(member -> member.cutFromTable = false);
   }
 
   /** Ends all processes at the same moment and starts their successors later. */
-  void losePower(long darkMs) {
-    members.forEach(SpendingWorld.Member::kill);
-    world.timers.advanceMs(darkMs);
+  void losePower(long outageMs) {
+    instances.forEach(SpendingSimulation.SimulatedInstance::kill);
+    world.timers.advanceMs(outageMs);
     startAll();
   }
 
@@ -153,14 +153,14 @@
   void serve(double seconds) {
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
       world.timers.advanceMs(1);
-      for (due += (double) REQUESTS_PER_S / MS_PER_S; due >= 1; due--) {
+      for (dueRequests += (double) REQUESTS_PER_S / MS_PER_S; dueRequests >= 1; dueRequests--) {
         ask();
       }
     }
   }
 
   /** Forgets the requests so far. */
-  void countAnew() {
+  void resetCounts() {
     requests.clear();
   }
 
@@ -168,16 +168,18 @@
     Kind kind = UnevenTeams.drawKind(world.random, KINDS, Kind::perS);
     int team = drawTeam();
     long tokens = kind.draw(world.random);
-    Request request = new Request(kind, team, tokens, isOwed(team, tokens), world.timers.nowMs());
+    Request request =
+        new Request(kind, team, tokens, isEntitled(team, tokens), world.timers.nowMs());
     requests.add(request);
     ask(request, true);
   }
 
   private void ask(Request request, boolean mayComeBack) {
-    memberFor(request.team).ifPresent(member -> ask(request, member, mayComeBack));
+    instanceFor(request.team).ifPresent(member -> ask(request, member, mayComeBack));
   }
 
-  private void ask(Request request, SpendingWorld.Member member, boolean mayComeBack) {
+  private void ask(
+      Request request, SpendingSimulation.SimulatedInstance member, boolean mayComeBack) {
     long triedMs = world.timers.nowMs();
     var unused =
         member
@@ -196,12 +198,12 @@
                 });
   }
 
-  private boolean isOwed(int team, long tokens) {
-    return usedTokens[team] + reservedTokens[team] + tokens <= OWED_SHARE * budgets.get(team);
+  private boolean isEntitled(int team, long tokens) {
+    return usedTokens[team] + reservedTokens[team] + tokens <= ENTITLED_SHARE * budgets.get(team);
   }
 
   /** From now on a part of all requests comes from the largest teams alone. */
-  void heat(int teamCount, double share) {
+  void concentrateLoad(int teamCount, double share) {
     hotTeams = teamCount;
     hotShare = share;
   }
@@ -213,20 +215,22 @@
   }
 
   /** Empty if the instance has not started yet. */
-  private Optional<SpendingWorld.Member> memberFor(int team) {
+  private Optional<SpendingSimulation.SimulatedInstance> instanceFor(int team) {
     int place =
-        Arrays.stream(BOUND_TEAMS)
+        Arrays.stream(PINNED_TEAMS)
             .filter(bound -> bound[0] == team)
             .mapToInt(bound -> bound[1])
             .findFirst()
             .orElseGet(() -> world.random.nextInt(ALL_INSTANCES));
-    return place < members.size() ? Optional.of(members.get(place)) : Optional.empty();
+    return place < instances.size() ? Optional.of(instances.get(place)) : Optional.empty();
   }
 
   private void onReserved(
-      Request request, SpendingWorld.Member member, SpendingReservation reservation) {
+      Request request,
+      SpendingSimulation.SimulatedInstance member,
+      SpendingReservation reservation) {
     long tookMs = world.timers.nowMs() - request.askedMs;
-    request.servedInTime = tookMs <= request.kind.aimMs() / PART_OF_AIM;
+    request.servedInTime = tookMs <= request.kind.aimMs() / TARGET_LATENCY_DIVISOR;
     long used = Math.round(request.tokens * request.kind.usedShare());
     reservedTokens[request.team] += request.tokens;
     world.timers.after(
@@ -239,7 +243,7 @@
   }
 
   private void onRefused(Request request, SpendingException refusal, boolean mayComeBack) {
-    if (mayComeBack && !refusal.isSpent()) {
+    if (mayComeBack && !refusal.isBudgetSpent()) {
       world.timers.after(refusal.retryAfterMs(), () -> ask(request, false));
     }
   }
@@ -255,23 +259,23 @@
   }
 
   private static double percent(List<Request> some) {
-    List<Request> owed = some.stream().filter(request -> request.owed).toList();
+    List<Request> owed = some.stream().filter(request -> request.entitled).toList();
     long inTime = owed.stream().filter(request -> request.servedInTime).count();
     return owed.isEmpty() ? 100 : 100.0 * inTime / owed.size();
   }
 
   /** Counts the requests that are owed. */
-  long owedCount() {
-    return requests.stream().filter(request -> request.owed).count();
+  long entitledCount() {
+    return requests.stream().filter(request -> request.entitled).count();
   }
 
   /** Says what part of the requests that are owed were refused at least once, in a hundred. */
   double refusedPercent() {
     long refused =
         requests.stream()
-            .filter(request -> request.owed && !request.refusedAfterMs.isEmpty())
+            .filter(request -> request.entitled && !request.refusedAfterMs.isEmpty())
             .count();
-    return 100.0 * refused / Math.max(1, owedCount());
+    return 100.0 * refused / Math.max(1, entitledCount());
   }
 
   /** Counts refusals. */
@@ -290,9 +294,9 @@
   }
 
   /** Gives what part of all budgets counts as spent in the table, in a hundred. */
-  double countedPercent() {
-    var rows = world.table.scan(SpendingTables.TABLE, "", "", SpendingTables.MAX_ROWS).join();
-    SpendingTables.Contents contents = SpendingTables.Contents.of(rows, 0);
+  double spentInTablePercent() {
+    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
     long counted = teams.stream().mapToLong(contents::spentTokens).sum();
     return 100.0 * counted / budgets.stream().mapToLong(Long::longValue).sum();
   }
@@ -308,13 +312,13 @@
             + "counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
         .formatted(
             requests.size(),
-            owedCount(),
+            entitledCount(),
             inTimePercent(),
             refusedPercent(),
             refusalCount(),
             refusedAfterMs(50),
             refusedAfterMs(90),
-            countedPercent(),
+            spentInTablePercent(),
             world.writeCount(),
             world.conflictCount(),
             worst);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/OthersSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class OthersSpendingTest {
+class PeerSpendingTest {
 
   private static final long NOW_MS = 10_000;
   private static final long DEMAND_TOKENS_PER_S = 200;
@@ -22,36 +22,36 @@
 
   @Test
   void estimatesWhatInstancesHaveSpentSinceTheirRows() {
-    OthersSpending others =
-        new OthersSpending(
+    PeerSpending others =
+        new PeerSpending(
             List.of(row(NOW_MS, "branch", 1_000, 5_000), row(NOW_MS - 2_000, "branch", 300, 5_000)),
             List.of(),
             NOW_MS);
 
     assertThat(others.of("branch").spentTokens()).isEqualTo(1_000 + 300 + DEMAND_TOKENS_PER_S);
     assertThat(others.of("branch").demandTokensPerS()).isEqualTo(2 * DEMAND_TOKENS_PER_S);
-    assertThat(others.inTouchCount()).isEqualTo(2);
+    assertThat(others.activeCount()).isEqualTo(2);
   }
 
   // An instance that no longer renews its row may be cut off and spending, up to its limit.
   @Test
   void countsTheWholeLimitOfSilentInstances() {
-    OthersSpending others =
-        new OthersSpending(
+    PeerSpending others =
+        new PeerSpending(
             List.of(row(NOW_MS, "branch", 1_000, 5_000)),
             List.of(row(0, "branch", 300, 4_000)),
             NOW_MS);
 
-    assertThat(others.of("branch").silentLimitTokens()).isEqualTo(4_000);
+    assertThat(others.of("branch").inactiveLimitTokens()).isEqualTo(4_000);
     assertThat(others.of("branch").spentTokens()).isEqualTo(1_000);
-    assertThat(others.inTouchCount()).isEqualTo(1);
+    assertThat(others.activeCount()).isEqualTo(1);
   }
 
   @Test
   void keepsTeamsApart() {
-    OthersSpending others =
-        new OthersSpending(List.of(row(NOW_MS, "branch", 1_000, 5_000)), List.of(), NOW_MS);
+    PeerSpending others =
+        new PeerSpending(List.of(row(NOW_MS, "branch", 1_000, 5_000)), List.of(), NOW_MS);
 
-    assertThat(others.of("hall")).isEqualTo(new OthersSpending.Sums(0, 0, 0));
+    assertThat(others.of("hall")).isEqualTo(new PeerSpending.Totals(0, 0, 0));
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPiecesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/ReservationBuilderTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What one request needs, put together from several loans. */
-class SpendingPiecesTest {
+class ReservationBuilderTest {
 
   private static final InstanceRecord LENDER =
       new InstanceRecord("konya-1", "konya-1", "konya", "10.0.0.1", 1, false);
@@ -16,18 +16,18 @@
   private final Loan second = new Loan(LENDER, 6_000);
 
   private Optional<SpendingReservation> reserve(long tokens) {
-    SpendingPieces pieces = new SpendingPieces(tokens);
+    ReservationBuilder pieces = new ReservationBuilder(tokens);
     pieces.addFrom(first::reserveUpTo);
     pieces.addFrom(second::reserveUpTo);
-    return pieces.whole();
+    return pieces.tryBuild();
   }
 
   @Test
   void takesFromTheNextPlaceOnlyWhatIsStillMissing() {
     assertThat(reserve(9_000)).isPresent();
 
-    assertThat(first.leftTokens()).isEqualTo(0);
-    assertThat(second.leftTokens()).isEqualTo(2_000);
+    assertThat(first.remainingTokens()).isEqualTo(0);
+    assertThat(second.remainingTokens()).isEqualTo(2_000);
   }
 
   // All places together have too little. What was set aside on the way must not stay so: it would
@@ -36,8 +36,8 @@
   void givesAllBackWhenThePiecesAreTooLittle() {
     assertThat(reserve(12_000)).isEmpty();
 
-    assertThat(first.leftTokens()).isEqualTo(5_000);
-    assertThat(second.leftTokens()).isEqualTo(6_000);
+    assertThat(first.remainingTokens()).isEqualTo(5_000);
+    assertThat(second.remainingTokens()).isEqualTo(6_000);
   }
 
   // A request used less than was set aside for it. Each place counts what was used there, in their
@@ -46,18 +46,18 @@
   void chargesThePlacesInTheirOrder() {
     reserve(9_000).orElseThrow().settle(5_500);
 
-    assertThat(first.leftTokens()).isEqualTo(0);
-    assertThat(second.leftTokens()).isEqualTo(5_500);
+    assertThat(first.remainingTokens()).isEqualTo(0);
+    assertThat(second.remainingTokens()).isEqualTo(5_500);
   }
 
   @Test
   void loanIsOverOnlyWhenNothingCanComeBack() {
     SpendingReservation reservation = reserve(5_000).orElseThrow();
-    assertThat(first.isOver()).isFalse();
+    assertThat(first.isSettled()).isFalse();
 
     reservation.settle(5_000);
 
-    assertThat(first.isOver()).isTrue();
-    assertThat(second.isOver()).isFalse();
+    assertThat(first.isSettled()).isTrue();
+    assertThat(second.isSettled()).isFalse();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
@@ -18,11 +18,11 @@
   private static final long SHORT_BUDGET_S = 40;
 
   /** The shortest time in which callers hope for a first byte. */
-  private static final long SHORTEST_AIM_MS = 300;
+  private static final long SHORTEST_TARGET_LATENCY_MS = 300;
 
   private static final int HOT_TEAMS = 4;
   private static final double HOT_SHARE = 0.4;
-  private static final long DARK_MS = 1_200;
+  private static final long OUTAGE_MS = 1_200;
 
   // Guards against a loss of power inside a cut that leaves teams without what they have paid for.
   @ParameterizedTest
@@ -32,17 +32,17 @@
     FleetLoad load = new FleetLoad(BUDGET_S, seed);
     load.start();
     load.serve(10);
-    load.heat(HOT_TEAMS, HOT_SHARE);
+    load.concentrateLoad(HOT_TEAMS, HOT_SHARE);
     load.serve(6);
-    load.heat(0, 0);
+    load.concentrateLoad(0, 0);
     load.cut();
     load.serve(4);
     // WHEN
-    load.losePower(DARK_MS);
+    load.losePower(OUTAGE_MS);
     load.serve(3);
-    load.heal();
+    load.reconnectStore();
     load.serve(15);
-    load.countAnew();
+    load.resetCounts();
     load.serve(5);
     // THEN
     assertWithMessage("%s", load).that(load.inTimePercent()).isAtLeast(IN_TIME_PERCENT);
@@ -51,22 +51,24 @@
   // Guards against refusals for tokens that come after the time in which callers hoped for answers.
   @ParameterizedTest
   @ValueSource(longs = {1, 3, 17})
-  void refusalsComeBeforeTheAimOfTheRequestWhileBudgetsRunOut(long seed) {
+  void refusalsComeWithinTargetLatencyWhileBudgetsRunOut(long seed) {
     // GIVEN
     FleetLoad load = new FleetLoad(SHORT_BUDGET_S, seed);
     load.start();
     load.serve(16);
     load.cut();
     load.serve(8);
-    load.heal();
+    load.reconnectStore();
     load.serve(4);
-    load.losePower(DARK_MS);
+    load.losePower(OUTAGE_MS);
     load.serve(9);
-    load.countAnew();
+    load.resetCounts();
     // WHEN
     load.serve(5);
     // THEN
-    assertWithMessage("%s", load).that(load.refusedAfterMs(90)).isAtMost(SHORTEST_AIM_MS);
+    assertWithMessage("%s", load)
+        .that(load.refusedAfterMs(90))
+        .isAtMost(SHORTEST_TARGET_LATENCY_MS);
   }
 
   // Guards against shortages while no instance has seen any demand since its start.
@@ -76,9 +78,9 @@
     FleetLoad load = new FleetLoad(BUDGET_S, 17);
     load.start();
     load.serve(10);
-    load.losePower(DARK_MS);
+    load.losePower(OUTAGE_MS);
     load.serve(2);
-    load.countAnew();
+    load.resetCounts();
     // WHEN
     load.serve(6);
     // THEN
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
@@ -9,11 +9,11 @@
 
   private static final long SETTLED_MS = 6_000;
 
-  private final SpendingWorld world = new SpendingWorld(120_000, 7);
-  private final SpendingWorld.Member first = world.start("ankara-1");
-  private final SpendingWorld.Member second = world.start("konya-1");
+  private final SpendingSimulation world = new SpendingSimulation(120_000, 7);
+  private final SpendingSimulation.SimulatedInstance first = world.start("ankara-1");
+  private final SpendingSimulation.SimulatedInstance second = world.start("konya-1");
 
-  private static int reserveAll(SpendingWorld.Member member, long tokens) {
+  private static int reserveAll(SpendingSimulation.SimulatedInstance member, long tokens) {
     int granted = 0;
     while (member.tryReserve(tokens)) {
       granted++;
@@ -26,7 +26,7 @@
     world.timers.advanceMs(SETTLED_MS);
 
     assertThat(first.spending.instanceCount()).isEqualTo(2);
-    assertThat(first.spending.others().stream().map(other -> other.id()).toList())
+    assertThat(first.spending.peers().stream().map(other -> other.id()).toList())
         .containsExactly("konya-1");
   }
 
@@ -44,7 +44,7 @@
   // Both instances lose the table for ten seconds. Callers go on being served from what lies at the
   // instance, which opens step by step.
   @Test
-  void goesOnSpendingInLongCut() {
+  void keepsSpendingDuringLongStoreOutage() {
     world.timers.advanceMs(SETTLED_MS);
     first.cutFromTable = true;
     int granted = 0;
@@ -58,7 +58,7 @@
   // The process dies a second after its last renewal. Its successor on the same machine counts
   // what may have been spent, and the rest of the holding is there for callers again.
   @Test
-  void crashLosesOnlyWhatWasNear() {
+  void crashLosesOnlyImmediateTokens() {
     world.timers.advanceMs(SETTLED_MS);
     first.tryReserve(1_000);
     world.timers.advanceMs(1_500);
@@ -69,13 +69,13 @@
     world.start("ankara-1");
     world.timers.advanceMs(SETTLED_MS);
 
-    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingWorld.TEAM);
+    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingSimulation.TEAM);
     assertThat(left).isAtLeast(110_000);
   }
 
-  private SpendingTables.Contents contentsOfTable() {
-    var rows = world.table.scan(SpendingTables.TABLE, "", "", SpendingTables.MAX_ROWS).join();
-    return SpendingTables.Contents.of(rows, 0);
+  private SpendingTable.Snapshot contentsOfTable() {
+    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    return SpendingTable.Snapshot.of(rows, 0);
   }
 
   // The process dies, and its successor begins soon but reaches the table only after seconds. The
@@ -88,13 +88,13 @@
     first.kill();
     world.timers.advanceMs(500);
 
-    SpendingWorld.Member successor = world.start("ankara-1");
+    SpendingSimulation.SimulatedInstance successor = world.start("ankara-1");
     successor.cutFromTable = true;
     world.timers.advanceMs(9_000);
     successor.cutFromTable = false;
     world.timers.advanceMs(SETTLED_MS);
 
-    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingWorld.TEAM);
+    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingSimulation.TEAM);
     assertThat(left).isAtLeast(110_000);
   }
 
@@ -103,7 +103,7 @@
   @Test
   void requestThatComesBeforeTheFirstRowWaitsForIt() {
     world.timers.advanceMs(SETTLED_MS);
-    SpendingWorld.Member starting = world.start("kayseri-1");
+    SpendingSimulation.SimulatedInstance starting = world.start("kayseri-1");
     starting.cutFromTable = true;
     starting.tryReserve(500);
     world.timers.advanceMs(450);
@@ -124,7 +124,7 @@
     first.cutFromTable = false;
     world.timers.advanceMs(500);
 
-    assertThat(first.spending.sinceRenewalMs()).isAtMost(500);
+    assertThat(first.spending.renewalAgeMs()).isAtMost(500);
   }
 
   // One instance has spent all that it held when the table goes away; the other holds enough. The
@@ -148,7 +148,7 @@
   // All instances have just lost the table and none can lend. What the request needs opens here
   // within half a second: its caller is served then, instead of being sent away for as long.
   @Test
-  void waitsForTokensThatOpenSoon() {
+  void waitsForTokensReleasedSoon() {
     world.timers.advanceMs(SETTLED_MS);
     first.tryReserve(2_000);
     world.timers.advanceMs(1_000);
@@ -167,7 +167,7 @@
   @Test
   void saysThatBudgetIsSpentOnlyWhenTheWholeTableShowsIt() {
     world.timers.advanceMs(SETTLED_MS);
-    for (SpendingWorld.Member member : List.of(first, second)) {
+    for (SpendingSimulation.SimulatedInstance member : List.of(first, second)) {
       for (int round = 0; round < 200; round++) {
         member.tryReserve(7_000);
         world.timers.advanceMs(100);
@@ -241,27 +241,28 @@
     reserveAll(first, 100);
     first.kill();
 
-    InstanceSpending row = contentsOfTable().instance(SpendingTables.instanceKey("ankara-1"));
-    long counted = row.closedAt(world.timers.nowMs()).grantOf(SpendingWorld.TEAM).spentTokens();
+    InstanceSpending row = contentsOfTable().instance(SpendingTable.instanceKey("ankara-1"));
+    long counted =
+        row.closedAt(world.timers.nowMs()).grantOf(SpendingSimulation.TEAM).spentTokens();
     assertThat(world.spentTokens()).isAtLeast(3_000);
     assertThat(counted).isAtLeast(world.spentTokens());
   }
 
   @Test
-  void handsEverythingBackWhenItLeaves() {
+  void returnsAllTokensOnShutdown() {
     world.timers.advanceMs(SETTLED_MS);
     first.tryReserve(1_000);
     world.timers.advanceMs(500);
     first.settleOne(400);
 
-    first.spending.handBack();
+    first.spending.returnUnspentTokens();
     world.timers.advanceMs(100);
 
     SpendingGrant left =
         contentsOfTable()
-            .instance(SpendingTables.instanceKey("ankara-1"))
-            .grantOf(SpendingWorld.TEAM);
+            .instance(SpendingTable.instanceKey("ankara-1"))
+            .grantOf(SpendingSimulation.TEAM);
     assertThat(left.spentTokens()).isEqualTo(400);
-    assertThat(left.holdingTokens()).isEqualTo(0);
+    assertThat(left.heldTokens()).isEqualTo(0);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingThroughCutsAndPowerLossTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
@@ -16,7 +16,7 @@
  * the figures: a budget is about what sixty seconds of this load use, and a request counts as
  * served in time if its tokens are there within the second that callers of long prompts hope for.
  */
-class SpendingThroughCutsAndPowerLossTest {
+class SpendingDuringOutagesTest {
 
   private static final List<String> INSTANCES =
       List.of(
@@ -42,28 +42,28 @@
   private static final long STEP_MS = 20;
   private static final long SETTLED_S = 12;
   private static final long IN_TIME_MS = 1_000;
-  private static final long DARK_MS = 800;
+  private static final long OUTAGE_MS = 800;
 
   /**
    * What the teams may lose together: 290 thousand were lost with a holder in each domain, 622
    * thousand when each instance kept a request's worth of each team's budget open.
    */
-  private static final long MOST_LOST_TOKENS = 400_000;
+  private static final long MAX_LOST_TOKENS = 400_000;
 
   /** 988 of 1,000 were measured. */
   private static final int LEAST_IN_TIME_PERCENT = 95;
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
-  private final SpendingWorld world = new SpendingWorld(PREPAID_TOKENS, 5, teams);
-  private final List<SpendingWorld.Member> members = new ArrayList<>();
+  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 5, teams);
+  private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private long spentTokens;
   private int asked;
   private int inTime;
 
   private void startAll() {
-    members.clear();
-    INSTANCES.forEach(id -> members.add(world.start(id)));
+    instances.clear();
+    INSTANCES.forEach(id -> instances.add(world.start(id)));
   }
 
   private int nextTokens() {
@@ -76,7 +76,8 @@
     long tokens = nextTokens();
     long askedMs = world.timers.nowMs();
     asked++;
-    SpendingWorld.Member member = members.get(world.random.nextInt(members.size()));
+    SpendingSimulation.SimulatedInstance member =
+        instances.get(world.random.nextInt(instances.size()));
     var unused =
         member
             .reserve(team, tokens)
@@ -98,8 +99,8 @@
   }
 
   private long countedTokens() {
-    var rows = world.table.scan(SpendingTables.TABLE, "", "", SpendingTables.MAX_ROWS).join();
-    SpendingTables.Contents contents = SpendingTables.Contents.of(rows, 0);
+    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
     return teams.stream().mapToLong(contents::spentTokens).sum();
   }
 
@@ -109,14 +110,14 @@
   void powerLossOfAllInstancesCostsFewTokens() {
     startAll();
     serve(SETTLED_S);
-    members.forEach(SpendingWorld.Member::kill);
-    world.timers.advanceMs(DARK_MS);
+    instances.forEach(SpendingSimulation.SimulatedInstance::kill);
+    world.timers.advanceMs(OUTAGE_MS);
     startAll();
     world.timers.advanceMs(500);
 
     long lostTokens = countedTokens() - spentTokens;
     assertThat(lostTokens).isAtLeast(0);
-    assertThat(lostTokens).isAtMost(MOST_LOST_TOKENS);
+    assertThat(lostTokens).isAtMost(MAX_LOST_TOKENS);
   }
 
   // All instances lose the store for eight seconds. Callers are served from what the holders have
@@ -127,9 +128,9 @@
     serve(SETTLED_S);
     asked = 0;
     inTime = 0;
-    members.forEach(member -> member.cutFromTable = true);
+    instances.forEach(member -> member.cutFromTable = true);
     serve(8);
-    members.forEach(member -> member.cutFromTable = false);
+    instances.forEach(member -> member.cutFromTable = false);
     serve(2);
 
     assertThat(inTime).isAtLeast(asked * LEAST_IN_TIME_PERCENT / 100);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingGrantBoundTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingGrantBoundTest.java
@@ -9,21 +9,22 @@
   private static final SpendingGrant GRANT = new SpendingGrant(1_000, 5_000, 500, 100, 400, 0);
 
   @Test
-  void isWhatWasSpentAndWhatIsNearWhileTheRowIsFresh() {
+  void isSpentPlusImmediateTokensBeforeSlowRelease() {
     assertThat(GRANT.boundAfterMs(0)).isEqualTo(1_500);
-    assertThat(GRANT.boundAfterMs(SpendingGrant.FRESH_MS)).isEqualTo(1_500);
+    assertThat(GRANT.boundAfterMs(SpendingGrant.SLOW_RELEASE_AFTER_MS)).isEqualTo(1_500);
   }
 
   @Test
-  void opensSlowlyAfterThat() {
-    assertThat(GRANT.boundAfterMs(SpendingGrant.FRESH_MS + 1_000)).isEqualTo(1_600);
+  void risesAtSlowRate() {
+    assertThat(GRANT.boundAfterMs(SpendingGrant.SLOW_RELEASE_AFTER_MS + 1_000)).isEqualTo(1_600);
   }
 
   @Test
-  void opensFastInLongSilence() {
-    long slow = GRANT.boundAfterMs(SpendingGrant.LONG_SILENCE_MS);
+  void risesAtFastRateWithoutRenewal() {
+    long slow = GRANT.boundAfterMs(SpendingGrant.FAST_RELEASE_AFTER_MS);
 
-    assertThat(GRANT.boundAfterMs(SpendingGrant.LONG_SILENCE_MS + 1_000)).isEqualTo(slow + 400);
+    assertThat(GRANT.boundAfterMs(SpendingGrant.FAST_RELEASE_AFTER_MS + 1_000))
+        .isEqualTo(slow + 400);
   }
 
   @Test
@@ -32,17 +33,17 @@
   }
 
   @Test
-  void knowsWhenAnAmountOpens() {
-    long silenceMs = GRANT.silenceUntilMs(2_500);
+  void givesTimeUntilAmountIsReleased() {
+    long silenceMs = GRANT.timeToReachMs(2_500);
 
     assertThat(GRANT.boundAfterMs(silenceMs)).isAtLeast(2_500);
     assertThat(GRANT.boundAfterMs(silenceMs - 20)).isLessThan(2_500);
-    assertThat(GRANT.silenceUntilMs(5_001)).isEqualTo(SpendingGrant.NEVER_MS);
+    assertThat(GRANT.timeToReachMs(5_001)).isEqualTo(SpendingGrant.NEVER_MS);
   }
 
   @Test
   void leavesNothingToSpendWhenItIsClosed() {
-    SpendingGrant closed = GRANT.closedAfterMs(SpendingGrant.FRESH_MS + 1_000);
+    SpendingGrant closed = GRANT.closedAfterMs(SpendingGrant.SLOW_RELEASE_AFTER_MS + 1_000);
 
     assertThat(closed.spentTokens()).isEqualTo(1_600);
     assertThat(closed.boundAfterMs(3_600_000)).isEqualTo(1_600);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingReachTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingLatencyTest.java
@@ -8,20 +8,20 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class SpendingReachTest {
+class SpendingLatencyTest {
 
   private static final long PREPAID_TOKENS = 10_000_000;
   private static final long SETTLED_MS = 20_000;
   private static final int MANY_INSTANCES = 79;
   private static final int HUNDREDS_OF_INSTANCES = 300;
-  private static final long AIM_MS = 300;
+  private static final long TARGET_LATENCY_MS = 300;
 
   /** The time to the first byte that callers hope for at the most. */
   private static final long LONGEST_WAIT_MS = 1_000;
 
   private static final long STEP_MS = 37;
 
-  private final SpendingWorld world = new SpendingWorld(PREPAID_TOKENS, 5);
+  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 5);
 
   private void settle() {
     world.timers.advanceMs(SETTLED_MS);
@@ -31,7 +31,7 @@
   @Test
   void requestThatNeedsRenewalIsServedWheneverItComes() {
     // GIVEN
-    List<SpendingWorld.Member> members =
+    List<SpendingSimulation.SimulatedInstance> members =
         IntStream.range(0, MANY_INSTANCES).mapToObj(n -> world.start("konya-" + n)).toList();
     settle();
     // WHEN
@@ -41,11 +41,12 @@
     assertThat(served).doesNotContain(false);
   }
 
-  private boolean isServedInTime(SpendingWorld.Member member, long tokens) {
-    CompletableFuture<SpendingReservation> reserved = member.reserve(SpendingWorld.TEAM, tokens);
-    world.timers.advanceMs(AIM_MS);
+  private boolean isServedInTime(SpendingSimulation.SimulatedInstance member, long tokens) {
+    CompletableFuture<SpendingReservation> reserved =
+        member.reserve(SpendingSimulation.TEAM, tokens);
+    world.timers.advanceMs(TARGET_LATENCY_MS);
     boolean served = reserved.isDone() && !reserved.isCompletedExceptionally();
-    world.timers.advanceMs(2 * AIM_MS + STEP_MS);
+    world.timers.advanceMs(2 * TARGET_LATENCY_MS + STEP_MS);
     return served;
   }
 
@@ -53,10 +54,11 @@
   @Test
   void firstRequestIsServedWhileTheStoreIsYoung() {
     // GIVEN
-    SpendingWorld.Member member = world.start("konya-1");
+    SpendingSimulation.SimulatedInstance member = world.start("konya-1");
     // WHEN
-    CompletableFuture<SpendingReservation> reserved = member.reserve(SpendingWorld.TEAM, 1_000);
-    world.timers.advanceMs(AIM_MS);
+    CompletableFuture<SpendingReservation> reserved =
+        member.reserve(SpendingSimulation.TEAM, 1_000);
+    world.timers.advanceMs(TARGET_LATENCY_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
     assertThat(reserved.isCompletedExceptionally()).isFalse();
@@ -66,16 +68,17 @@
   @Test
   void firstRequestOfNewTeamIsServed() {
     // GIVEN
-    SpendingWorld newcomers =
-        new SpendingWorld(List.of("first", "second"), List.of(PREPAID_TOKENS, PREPAID_TOKENS), 5);
+    SpendingSimulation newcomers =
+        new SpendingSimulation(
+            List.of("first", "second"), List.of(PREPAID_TOKENS, PREPAID_TOKENS), 5);
     ForwardingPlan whole = newcomers.plan.read();
     newcomers.plan.publish(ForwardingPlan.unknown());
-    SpendingWorld.Member member = newcomers.start("konya-1");
-    newcomers.timers.advanceMs(AIM_MS);
+    SpendingSimulation.SimulatedInstance member = newcomers.start("konya-1");
+    newcomers.timers.advanceMs(TARGET_LATENCY_MS);
     newcomers.plan.publish(whole);
     // WHEN
     CompletableFuture<SpendingReservation> reserved = member.reserve("second", 1_000);
-    newcomers.timers.advanceMs(AIM_MS);
+    newcomers.timers.advanceMs(TARGET_LATENCY_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
     assertThat(reserved.isCompletedExceptionally()).isFalse();
@@ -83,17 +86,17 @@
 
   // Guards against requests that wait for seconds until the pace of a large fleet allows a renewal.
   @Test
-  void requestsOfHundredsOfInstancesDoNotWaitOutThePace() {
+  void requestsOfHundredsOfInstancesDoNotWaitForPacedRenewals() {
     // GIVEN
-    List<SpendingWorld.Member> members =
+    List<SpendingSimulation.SimulatedInstance> members =
         IntStream.range(0, HUNDREDS_OF_INSTANCES).mapToObj(n -> world.start("konya-" + n)).toList();
     settle();
-    SpendingWorld.Member member = members.get(1);
+    SpendingSimulation.SimulatedInstance member = members.get(1);
     member.tryReserve(PREPAID_TOKENS / 100);
-    world.timers.advanceMs(AIM_MS);
+    world.timers.advanceMs(TARGET_LATENCY_MS);
     // WHEN
     CompletableFuture<SpendingReservation> reserved =
-        member.reserve(SpendingWorld.TEAM, PREPAID_TOKENS / 10);
+        member.reserve(SpendingSimulation.TEAM, PREPAID_TOKENS / 10);
     world.timers.advanceMs(LONGEST_WAIT_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
@@ -25,13 +25,13 @@
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
-  private final SpendingWorld world = new SpendingWorld(PREPAID_TOKENS, 11, teams);
+  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 11, teams);
 
   // The holder of each team asks the table for more than it has ready. Whichever team it is, the
   // request must not wait until a turn has come round to it.
   @Test
   void requestOfAnyTeamGetsTokensFromTheNextRow() {
-    SpendingWorld.Member first = world.start("konya-1");
+    SpendingSimulation.SimulatedInstance first = world.start("konya-1");
     world.start("kayseri-1");
     world.timers.advanceMs(SETTLED_MS);
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
@@ -38,13 +38,13 @@
   private static final long CALM_S = 8;
   private static final long RETURN_S = 3;
   private static final long HOT_S = 6;
-  private static final long DARK_MS = 800;
+  private static final long OUTAGE_MS = 800;
 
   /** After it nothing is under way any more. */
   private static final long LONGEST_STREAM_MS = 4_000;
 
   /** 1.3 in a hundred are lost with one usual request near at each holder, 2.6 with more. */
-  private static final double MOST_LOST_SHARE = 0.03;
+  private static final double MAX_LOST_SHARE = 0.03;
 
   /** Where teams have a home, so many of ten requests come from there. */
   private static final int AT_HOME_OF_TEN = 7;
@@ -82,8 +82,8 @@
   private static final UnevenTeams UNEVEN = new UnevenTeams(TEAMS);
 
   private final List<String> teams = UNEVEN.names();
-  private SpendingWorld world = new SpendingWorld(teams, budgets(BUDGET_S), SEED);
-  private final List<SpendingWorld.Member> members = new ArrayList<>();
+  private SpendingSimulation world = new SpendingSimulation(teams, budgets(BUDGET_S), SEED);
+  private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private long spentTokens;
   private int asked;
   private int inTime;
@@ -99,28 +99,28 @@
   }
 
   private void startAll() {
-    world.writeOneByOne(WRITE_MS);
-    members.clear();
+    world.serializeWrites(WRITE_MS);
+    instances.clear();
     int all = DOMAINS * INSTANCES_PER_DOMAIN;
     for (int number = 0; number < all; number++) {
       world.timers.advanceMs(START_SPREAD_MS * (number + 1) / all - START_SPREAD_MS * number / all);
-      members.add(world.start("domain" + number % DOMAINS + "-" + number / DOMAINS));
+      instances.add(world.start("domain" + number % DOMAINS + "-" + number / DOMAINS));
     }
   }
 
   /** Instances of the first domain are drawn more often. */
-  private SpendingWorld.Member drawMember() {
+  private SpendingSimulation.SimulatedInstance drawInstance() {
     int drawn = world.random.nextInt(BUSY + DOMAINS - 1);
     int domain = Math.max(0, drawn - BUSY + 1);
-    return memberIn(domain);
+    return instanceIn(domain);
   }
 
   private static int homeOf(int team) {
     return team < TEAMS_OF_FIRST_HOME ? 0 : team % DOMAINS;
   }
 
-  private SpendingWorld.Member memberIn(int domain) {
-    return members.get(domain + DOMAINS * world.random.nextInt(INSTANCES_PER_DOMAIN));
+  private SpendingSimulation.SimulatedInstance instanceIn(int domain) {
+    return instances.get(domain + DOMAINS * world.random.nextInt(INSTANCES_PER_DOMAIN));
   }
 
   private void ask() {
@@ -131,8 +131,10 @@
     asked++;
     askedLong += isLong ? 1 : 0;
     int team = hot && world.random.nextInt(10) < HOT_OF_TEN ? HOT_TEAM : UNEVEN.draw(world.random);
-    SpendingWorld.Member member =
-        atHome && world.random.nextInt(10) < AT_HOME_OF_TEN ? memberIn(homeOf(team)) : drawMember();
+    SpendingSimulation.SimulatedInstance member =
+        atHome && world.random.nextInt(10) < AT_HOME_OF_TEN
+            ? instanceIn(homeOf(team))
+            : drawInstance();
     var unused =
         member
             .reserve(teams.get(team), tokens)
@@ -161,7 +163,7 @@
     }
   }
 
-  private void countAnew() {
+  private void resetCounts() {
     asked = 0;
     inTime = 0;
     refused = 0;
@@ -173,7 +175,7 @@
     startAll();
     world.timers.advanceMs(BEFORE_TRAFFIC_MS);
     serve(SETTLED_S);
-    countAnew();
+    resetCounts();
   }
 
   /** Says what part of the requests, in a hundred, had their tokens in time. */
@@ -203,15 +205,15 @@
   // ready. 16 of 1,620 requests were refused, 51 when lenders did not act on a shortage.
   @Test
   void hotTeamInOneDomainFindsWhatTheOthersHold() {
-    world = new SpendingWorld(teams, budgets(SHORT_BUDGET_S), SEED);
+    world = new SpendingSimulation(teams, budgets(SHORT_BUDGET_S), SEED);
     atHome = true;
     settle();
-    members.forEach(member -> member.cutFromTable = true);
+    instances.forEach(member -> member.cutFromTable = true);
     serve(CUT_S);
-    members.forEach(member -> member.cutFromTable = false);
+    instances.forEach(member -> member.cutFromTable = false);
     serve(RETURN_S);
     hot = true;
-    countAnew();
+    resetCounts();
 
     serve(HOT_S);
 
@@ -224,7 +226,7 @@
   @Test
   void mostCallersAreServedInTimeThroughCutOfAllInstances() {
     settle();
-    members.forEach(member -> member.cutFromTable = true);
+    instances.forEach(member -> member.cutFromTable = true);
 
     serve(CUT_S);
 
@@ -238,10 +240,10 @@
   @Test
   void returnOfTheStoreDelaysNobody() {
     settle();
-    members.forEach(member -> member.cutFromTable = true);
+    instances.forEach(member -> member.cutFromTable = true);
     serve(CUT_S);
-    members.forEach(member -> member.cutFromTable = false);
-    countAnew();
+    instances.forEach(member -> member.cutFromTable = false);
+    resetCounts();
 
     serve(RETURN_S);
 
@@ -256,14 +258,14 @@
     settle();
     serve(CALM_S);
     world.timers.advanceMs(LONGEST_STREAM_MS);
-    members.forEach(SpendingWorld.Member::kill);
-    world.timers.advanceMs(DARK_MS);
+    instances.forEach(SpendingSimulation.SimulatedInstance::kill);
+    world.timers.advanceMs(OUTAGE_MS);
     startAll();
     world.timers.advanceMs(MS_PER_S);
 
     long lostTokens = countedTokens() - spentTokens;
     assertThat(lostTokens).isAtLeast(0);
-    assertThat(lostTokens).isAtMost(Math.round(MOST_LOST_SHARE * prepaidTokens()));
+    assertThat(lostTokens).isAtMost(Math.round(MAX_LOST_SHARE * prepaidTokens()));
   }
 
   private static long prepaidTokens() {
@@ -271,12 +273,12 @@
   }
 
   private long countedTokens() {
-    SpendingTables.Contents contents = contents();
+    SpendingTable.Snapshot contents = contents();
     return teams.stream().mapToLong(contents::spentTokens).sum();
   }
 
-  private SpendingTables.Contents contents() {
-    var rows = world.table.scan(SpendingTables.TABLE, "", "", SpendingTables.MAX_ROWS).join();
-    return SpendingTables.Contents.of(rows, 0);
+  private SpendingTable.Snapshot contents() {
+    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    return SpendingTable.Snapshot.of(rows, 0);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
@@ -27,10 +27,10 @@
   /** A little more than an instance holds: 92 in 100 of an equal share of a million. */
   private static final long LARGE_TOKENS = 1_000_000;
 
-  private final SpendingWorld world = new SpendingWorld(70_000_000, 11);
+  private final SpendingSimulation world = new SpendingSimulation(70_000_000, 11);
 
-  private List<SpendingWorld.Member> startAll() {
-    List<SpendingWorld.Member> members =
+  private List<SpendingSimulation.SimulatedInstance> startAll() {
+    List<SpendingSimulation.SimulatedInstance> members =
         IntStream.range(0, INSTANCES)
             .mapToObj(
                 number -> {
@@ -43,8 +43,8 @@
   }
 
   /** Each instance is asked for a thousand tokens a second, at a moment of its own. */
-  private void spendOneSecond(List<SpendingWorld.Member> members) {
-    for (SpendingWorld.Member member : members) {
+  private void spendOneSecond(List<SpendingSimulation.SimulatedInstance> members) {
+    for (SpendingSimulation.SimulatedInstance member : members) {
       world.timers.advanceMs(1_000 / INSTANCES);
       member.tryReserve(TOKENS);
     }
@@ -54,7 +54,7 @@
   // instances would be busy with little else.
   @Test
   void renewalReadsFewRowsOfOthers() {
-    List<SpendingWorld.Member> members = startAll();
+    List<SpendingSimulation.SimulatedInstance> members = startAll();
     long before = world.rowsRead();
 
     for (int second = 0; second < MEASURED_S; second++) {
@@ -69,7 +69,7 @@
   // team's row each second, most of their writes would meet a conflict.
   @Test
   void fewWritesMeetConflicts() {
-    List<SpendingWorld.Member> members = startAll();
+    List<SpendingSimulation.SimulatedInstance> members = startAll();
     long writesBefore = world.writeCount();
     long conflictsBefore = world.conflictCount();
 
@@ -86,10 +86,10 @@
   // the turn of its instance, which comes once in six seconds.
   @Test
   void requestLargerThanTheHoldingIsServedAtOnce() {
-    List<SpendingWorld.Member> members = startAll();
+    List<SpendingSimulation.SimulatedInstance> members = startAll();
     long before = world.spentTokens();
 
-    for (SpendingWorld.Member member : members.subList(0, LARGE_REQUESTS)) {
+    for (SpendingSimulation.SimulatedInstance member : members.subList(0, LARGE_REQUESTS)) {
       member.tryReserve(LARGE_TOKENS);
       world.timers.advanceMs(300);
     }
@@ -100,7 +100,7 @@
 
   @Test
   void everyInstanceIsServed() {
-    List<SpendingWorld.Member> members = startAll();
+    List<SpendingSimulation.SimulatedInstance> members = startAll();
 
     for (int second = 0; second < MEASURED_S; second++) {
       spendOneSecond(members);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
@@ -41,21 +41,21 @@
   private static final long PREPAID_TOKENS =
       3L * (SETTLED_S + MEASURED_S) * REQUESTS_PER_S * (LEAST_TOKENS + MORE_TOKENS / 2) / TEAMS / 2;
 
-  private final SpendingWorld world =
-      new SpendingWorld(
+  private final SpendingSimulation world =
+      new SpendingSimulation(
           PREPAID_TOKENS,
           7,
           IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList());
-  private final List<SpendingWorld.Member> members = new ArrayList<>();
+  private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private int asked;
   private int soon;
   private int refused;
 
   private void startAll() {
-    world.writeOneByOne(WRITE_MS);
+    world.serializeWrites(WRITE_MS);
     for (int number = 0; number < INSTANCES; number++) {
       world.timers.advanceMs(START_SPREAD_MS / INSTANCES);
-      members.add(world.start("konya-" + number));
+      instances.add(world.start("konya-" + number));
     }
     world.timers.advanceMs(SPREAD_OUT_MS);
   }
@@ -66,7 +66,7 @@
     long askedMs = world.timers.nowMs();
     asked++;
     var unused =
-        members
+        instances
             .get(world.random.nextInt(INSTANCES))
             .reserve(team, tokens)
             .whenComplete(
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
@@ -40,7 +40,7 @@
 
   private static void spend(List<String> ids, int steps, long seed) {
     Random choices = new Random(seed);
-    SpendingWorld world = new SpendingWorld(TOKENS_EACH * ids.size(), seed);
+    SpendingSimulation world = new SpendingSimulation(TOKENS_EACH * ids.size(), seed);
     ids.forEach(world::start);
     world.timers.advanceMs(3_000);
     for (int step = 0; step < steps; step++) {
@@ -51,8 +51,8 @@
     }
   }
 
-  private static void act(SpendingWorld world, String id, Random choices) {
-    SpendingWorld.Member member = world.member(id);
+  private static void act(SpendingSimulation world, String id, Random choices) {
+    SpendingSimulation.SimulatedInstance member = world.member(id);
     switch (choices.nextInt(20)) {
       case 0 -> member.cutFromTable = !member.cutFromTable;
       case 1 -> member.cutFromPeers = !member.cutFromPeers;
@@ -67,13 +67,13 @@
     }
   }
 
-  private static void restart(SpendingWorld world, String id, Random choices) {
+  private static void restart(SpendingSimulation world, String id, Random choices) {
     world.member(id).kill();
     world.timers.advanceMs(choices.nextInt(2_500));
     world.start(id);
   }
 
-  private static void topUpSeldom(SpendingWorld world, Random choices) {
+  private static void topUpSeldom(SpendingSimulation world, Random choices) {
     if (choices.nextInt(10) == 0) {
       world.topUp(20_000);
     }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingShortageTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingShortageTest.java
@@ -9,13 +9,13 @@
   private static final long PREPAID_TOKENS = 100_000;
   private static final long SETTLED_MS = 3_000;
 
-  private final SpendingWorld world = new SpendingWorld(PREPAID_TOKENS, 3);
-  private final SpendingWorld.Member member = world.start("konya-1");
+  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 3);
+  private final SpendingSimulation.SimulatedInstance member = world.start("konya-1");
 
   @Test
   void refusalSaysWhereTheTokensOfTheTeamAre() {
     // GIVEN
-    SpendingWorld.Member other = world.start("kayseri-1");
+    SpendingSimulation.SimulatedInstance other = world.start("kayseri-1");
     world.timers.advanceMs(SETTLED_MS);
     other.tryReserve(PREPAID_TOKENS / 2);
     world.timers.advanceMs(SETTLED_MS);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingWorld.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -31,7 +31,7 @@
 import java.util.stream.IntStream;
 
 /** Instances that spend one team's budget over a table and peers that fail as a test asks. */
-final class SpendingWorld {
+final class SpendingSimulation {
 
   static final String TEAM = "branch";
 
@@ -41,11 +41,11 @@
   final FakeTable table = new FakeTable(timers);
   final Section<ForwardingPlan> plan = new Section<>(ForwardingPlan.unknown());
   final Random random;
-  private final Map<String, Member> members = new HashMap<>();
+  private final Map<String, SimulatedInstance> instances = new HashMap<>();
   private final List<String> teams;
   private final Map<String, Long> firstTokens = new HashMap<>();
   private long writeTakesMs;
-  private long tableFreeMs;
+  private long tableIdleAtMs;
   private long peerDelayMs = 1;
   private long prepaidTokens;
   private long spentTokens;
@@ -53,18 +53,18 @@
   private long writeCount;
   private long conflictCount;
 
-  SpendingWorld(long prepaidTokens, long seed) {
+  SpendingSimulation(long prepaidTokens, long seed) {
     this(prepaidTokens, seed, List.of(TEAM));
   }
 
   /** Each of the teams has the same budget. */
-  SpendingWorld(long prepaidTokens, long seed, List<String> teams) {
+  SpendingSimulation(long prepaidTokens, long seed, List<String> teams) {
     this(teams, teams.stream().map(team -> 0L).toList(), seed);
     topUp(prepaidTokens);
   }
 
   /** Each team has a budget of its own, in the order of the teams. */
-  SpendingWorld(List<String> teams, List<Long> budgets, long seed) {
+  SpendingSimulation(List<String> teams, List<Long> budgets, long seed) {
     this.random = new Random(seed);
     this.teams = teams;
     IntStream.range(0, teams.size())
@@ -73,7 +73,7 @@
   }
 
   /** From now on the table writes one transaction after the other, each in this time. */
-  void writeOneByOne(long takesMs) {
+  void serializeWrites(long takesMs) {
     writeTakesMs = takesMs;
   }
 
@@ -84,8 +84,8 @@
 
   /** Gives when a transaction that is sent now is written, after those before it. */
   private long writtenInMs() {
-    tableFreeMs = Math.max(tableFreeMs, timers.nowMs()) + writeTakesMs;
-    return tableFreeMs - timers.nowMs();
+    tableIdleAtMs = Math.max(tableIdleAtMs, timers.nowMs()) + writeTakesMs;
+    return tableIdleAtMs - timers.nowMs();
   }
 
   void topUp(long tokens) {
@@ -144,14 +144,14 @@
     return written;
   }
 
-  Member start(String id) {
-    Member member = new Member(id);
-    members.put(id, member);
+  SimulatedInstance start(String id) {
+    SimulatedInstance member = new SimulatedInstance(id);
+    instances.put(id, member);
     return member;
   }
 
-  Member member(String id) {
-    return members.get(id);
+  SimulatedInstance member(String id) {
+    return instances.get(id);
   }
 
   /** Instances are named after their failure domains. */
@@ -160,7 +160,7 @@
   }
 
   /** One process of an instance. */
-  final class Member implements Timers {
+  final class SimulatedInstance implements Timers {
     private final String id;
     private final List<Held> held = new ArrayList<>();
     private final PeerDispatcher dispatcher = new PeerDispatcher();
@@ -174,15 +174,15 @@
 
     private record Held(SpendingReservation reservation, long tokens) {}
 
-    Member(String id) {
+    SimulatedInstance(String id) {
       this.id = id;
       this.spending =
           new SpendingController(
               new InstanceRecord(id, id, domainOf(id), id, 1, false),
-              new Way(this),
+              new FaultyTable(this),
               new TestClock(),
               plan,
-              new DemandShares(),
+              new DemandSharePolicy(),
               this,
               timers.nowMs(),
               random,
@@ -235,7 +235,7 @@
       after(
           timeoutMs,
           () -> reply.completeExceptionally(PeerException.noReply(peer.id(), "timeout")));
-      Member to = members.get(peer.id());
+      SimulatedInstance to = instances.get(peer.id());
       if (cutFromPeers || to == null || to.cutFromPeers) {
         return reply;
       }
@@ -297,12 +297,12 @@
   }
 
   /** One process's way to the table, with the faults of the process. */
-  private final class Way implements TableService {
+  private final class FaultyTable implements TableService {
     private static final long MAX_LATE_MS = 5_000;
 
-    private final Member member;
+    private final SimulatedInstance member;
 
-    Way(Member member) {
+    FaultyTable(SimulatedInstance member) {
       this.member = member;
     }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
@@ -68,12 +68,12 @@
   }
 
   @Test
-  void opensWithTheTimeSinceTheRowWasSent() {
+  void releasesTokensWithTheAgeOfTheRow() {
     spending.confirm(propose(1_000, 0, 100));
     assertThat(spending.tryReserve(200)).isFalse();
-    assertThat(spending.waitMs(200)).isEqualTo(SpendingGrant.FRESH_MS + 2_000);
+    assertThat(spending.waitMs(200)).isEqualTo(SpendingGrant.SLOW_RELEASE_AFTER_MS + 2_000);
 
-    timers.advanceMs(SpendingGrant.FRESH_MS + 2_000);
+    timers.advanceMs(SpendingGrant.SLOW_RELEASE_AFTER_MS + 2_000);
 
     assertThat(spending.tryReserve(200)).isTrue();
   }
@@ -86,7 +86,7 @@
 
     assertThat(lent).isEqualTo(200);
     assertThat(spending.spentTokens()).isEqualTo(300);
-    spending.takeBack(80);
+    spending.returnLoan(80);
     assertThat(spending.spentTokens()).isEqualTo(220);
   }
 
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
@@ -42,7 +42,7 @@
   /** Shows what is held of each team's budget, also of teams that come later. */
   void showSpending(Section<ForwardingPlan> plan, SpendingController spending) {
     metrics.gauge("spending.instanceCount", () -> spending::instanceCount);
-    metrics.gauge("spending.renewalAgeMs", () -> spending::sinceRenewalMs);
+    metrics.gauge("spending.renewalAgeMs", () -> spending::renewalAgeMs);
     metrics.gauge("spending.lostTokens", () -> spending::lostTokens);
     metrics.gauge("spending.refusedCount", () -> spending::refusedCount);
     metrics.gauge(
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -8,7 +8,7 @@
 import io.mothrill.core.forward.permit.FleetView;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.retry.SharedRetryBudget;
-import io.mothrill.core.forward.spending.DemandShares;
+import io.mothrill.core.forward.spending.DemandSharePolicy;
 import io.mothrill.core.forward.spending.SpendingController;
 import io.mothrill.core.forward.upstream.DomainReach;
 import io.mothrill.core.forward.upstream.FateReport;
@@ -112,7 +112,7 @@
             ports.table(),
             ports.storeClock(),
             plan,
-            new DemandShares(),
+            new DemandSharePolicy(),
             timers,
             ports.startedMs(),
             random,
@@ -122,7 +122,7 @@
     dispatcher.on(
         PeerMessage.Heartbeat.class,
         heartbeat -> CompletableFuture.completedFuture(new PeerMessage.Done()));
-    DomainReach reach = new DomainReach(self, spending::others, peers, timers);
+    DomainReach reach = new DomainReach(self, spending::peers, peers, timers);
     UpstreamChoice choice =
         new UpstreamChoice(
             self,
@@ -137,7 +137,7 @@
     CrashGuard crashes =
         new CrashGuard(
             self,
-            spending::others,
+            spending::peers,
             this::sendReport,
             ports.table(),
             ports.storeClock(),
@@ -150,7 +150,7 @@
             group,
             settings.peers().host(),
             settings.peers().port(),
-            spending::others,
+            spending::peers,
             new NoticeListeners(
                 (incarnation, tokens) -> {
                   if (upstreams.read().containsIncarnation(incarnation)) {
@@ -215,12 +215,12 @@
     return new FleetView() {
       @Override
       public List<InstanceRecord> others() {
-        return spending.others();
+        return spending.peers();
       }
 
       @Override
       public boolean isCurrent() {
-        return spending.knowsFleet();
+        return spending.isFleetViewCurrent();
       }
     };
   }
@@ -287,7 +287,7 @@
     check.cancel();
     Logger.info("left underWay={} tookMs={}", edge.underWayCount(), sinceMs);
     timers.after(HAND_BACK_MS, () -> left.complete(null));
-    spending.handBack().thenRun(() -> left.complete(null));
+    spending.returnUnspentTokens().thenRun(() -> left.complete(null));
   }
 
   /**
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
@@ -178,7 +178,7 @@
     }
     reason = String.valueOf(Failures.unwrap(error).getMessage());
     refuse(
-        Failures.unwrap(error) instanceof SpendingException spending && spending.isSpent()
+        Failures.unwrap(error) instanceof SpendingException spending && spending.isBudgetSpent()
             ? ForwardRefusal.of(Cause.BUDGET_SPENT)
             : ForwardRefusal.comeBackIn(Cause.TOKENS_ELSEWHERE, retryAfterMs(error)));
   }
