--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashWorld.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
@@ -4,9 +4,9 @@
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.request.Fingerprint;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
+import io.mothrill.core.forward.upstream.RegistrationVersion;
 import io.mothrill.core.forward.upstream.UpstreamList;
-import io.mothrill.core.forward.upstream.UpstreamWord;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.platform.StoreClock;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
 import java.util.stream.IntStream;
 
 /** Instances of several failure domains that tell each other of crashes over a lossy network. */
-final class CrashWorld {
+final class CrashSimulation {
 
   static final Fingerprint REQUEST = new Fingerprint(7, 7);
 
@@ -45,17 +45,17 @@
   private boolean upstreamsEnd = true;
   long datagramCount;
 
-  CrashWorld(int instanceCount, double lossShare, long seed) {
+  CrashSimulation(int instanceCount, double lossShare, long seed) {
     this.random = new SplittableRandom(seed);
     this.lossShare = lossShare;
     upstreams.publish(
-        new UpstreamList(IntStream.range(0, 40).mapToObj(CrashWorld::upstream).toList()));
-    IntStream.range(0, instanceCount).mapToObj(CrashWorld::instance).forEach(instances::add);
+        new UpstreamList(IntStream.range(0, 40).mapToObj(CrashSimulation::upstream).toList()));
+    IntStream.range(0, instanceCount).mapToObj(CrashSimulation::instance).forEach(instances::add);
     instances.forEach(this::start);
   }
 
-  static ServingUpstream upstream(int number) {
-    return new ServingUpstream(
+  static RegisteredUpstream upstream(int number) {
+    return new RegisteredUpstream(
         "i-" + number,
         "svc",
         "10.0.0." + number,
@@ -64,7 +64,7 @@
         8,
         false,
         OptionalLong.empty(),
-        new UpstreamWord(1, 1));
+        new RegistrationVersion(1, 1));
   }
 
   private static String domain(int number) {
@@ -93,7 +93,7 @@
             table,
             storeClock,
             upstream -> CompletableFuture.completedFuture(upstreamsEnd),
-            upstream -> upstreams.read().isServing(upstream),
+            upstream -> upstreams.read().isAccepting(upstream),
             timers,
             random));
   }
@@ -131,16 +131,16 @@
 
   /** Lets an upstream end under the request at an instance. */
   void crash(int instance, int upstream) {
-    guard(instance).onBroken(REQUEST, upstream(upstream));
+    guard(instance).onConnectionLost(REQUEST, upstream(upstream));
   }
 
   boolean refuses(int instance) {
-    return guard(instance).countOf(REQUEST) >= CrashRecord.MAX_CRASHES;
+    return guard(instance).crashCount(REQUEST) >= CrashRecord.MAX_CRASHES;
   }
 
   long refusingCount() {
     return guards.values().stream()
-        .filter(guard -> guard.countOf(REQUEST) >= CrashRecord.MAX_CRASHES)
+        .filter(guard -> guard.crashCount(REQUEST) >= CrashRecord.MAX_CRASHES)
         .count();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
@@ -21,7 +21,7 @@
   /** After this time no message about the crashes is on its way. */
   private static final long TOLD_MS = 3_000;
 
-  private final CrashWorld world = new CrashWorld(INSTANCES, 0, 1);
+  private final CrashSimulation world = new CrashSimulation(INSTANCES, 0, 1);
 
   private void crashThree() {
     world.timers.advanceMs(2_000);
@@ -30,7 +30,7 @@
   }
 
   private void replaceAll() {
-    IntStream.range(0, INSTANCES).mapToObj(CrashWorld::instance).forEach(world::start);
+    IntStream.range(0, INSTANCES).mapToObj(CrashSimulation::instance).forEach(world::start);
   }
 
   @Test
@@ -92,7 +92,7 @@
   @Test
   void goodRunTakesTheRowAway() {
     crashThree();
-    world.guard(4).onServed(CrashWorld.REQUEST);
+    world.guard(4).onSuccess(CrashSimulation.REQUEST);
     world.timers.advanceMs(1_000);
     replaceAll();
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/NamedLimitPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
@@ -14,7 +14,7 @@
 
 // Guards against instances that each keep a limit, or parts of it, and together exceed it while
 // they are cut off, killed, started again and added, and reports between them are late and lost.
-class NamedLimitPropertyTest {
+class AnnouncedRateLimitPropertyTest {
 
   private static final long STEP_MS = 250;
   private static final int STEPS = 240;
@@ -41,7 +41,7 @@
   private static void play(long seed, int count) {
     Random random = new Random(seed);
     ManualTimers timers = new ManualTimers();
-    LimitWorld world = new LimitWorld(timers, random, count);
+    RateLimitSimulation world = new RateLimitSimulation(timers, random, count);
     Deque<Long> sentMs = new ArrayDeque<>();
     double limitPerS = Double.MAX_VALUE;
     for (int step = 0; step < STEPS; step++) {
@@ -58,7 +58,7 @@
     }
   }
 
-  private static double next(LimitWorld world, Random random) {
+  private static double next(RateLimitSimulation world, Random random) {
     int choice = random.nextInt(LIMITS_PER_S.length + 1);
     if (choice == LIMITS_PER_S.length) {
       world.name(OptionalDouble.empty());
@@ -68,9 +68,9 @@
     return LIMITS_PER_S[choice];
   }
 
-  private static void disturb(LimitWorld world, Random random, int count) {
-    List<LimitWorld.Instance> instances = world.instances();
-    LimitWorld.Instance one = instances.get(random.nextInt(instances.size()));
+  private static void disturb(RateLimitSimulation world, Random random, int count) {
+    List<RateLimitSimulation.Instance> instances = world.instances();
+    RateLimitSimulation.Instance one = instances.get(random.nextInt(instances.size()));
     String id = one.member().self().id();
     switch (random.nextInt(12)) {
       case 0 -> one.member().cutOff();
@@ -86,16 +86,17 @@
     }
   }
 
-  private static int domainOf(LimitWorld.Instance instance) {
+  private static int domainOf(RateLimitSimulation.Instance instance) {
     String domain = instance.member().self().domain();
     return Integer.parseInt(domain.substring(domain.indexOf('-') + 1));
   }
 
-  private static void sendAll(LimitWorld world, double limitPerS, long nowMs, Deque<Long> sentMs) {
+  private static void sendAll(
+      RateLimitSimulation world, double limitPerS, long nowMs, Deque<Long> sentMs) {
     while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() >= SPAN_MS) {
       sentMs.pollFirst();
     }
-    for (LimitWorld.Instance instance : world.instances()) {
+    for (RateLimitSimulation.Instance instance : world.instances()) {
       boolean told = instance.toldAgoMs() >= TAKEN_IN_MS;
       int sent = instance.send();
       if (told) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/NamedLimitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
@@ -4,8 +4,8 @@
 
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.permit.Allowance;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.permit.RateLimit;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.TestUpstreams;
 import io.mothrill.core.forward.upstream.UpstreamList;
 import java.util.ArrayList;
@@ -14,14 +14,14 @@
 import java.util.OptionalDouble;
 import org.junit.jupiter.api.Test;
 
-class NamedLimitsTest {
+class AnnouncedRateLimitsTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final ServingUpstream upstream = TestUpstreams.started("i-1", "konya", 1);
+  private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "konya", 1);
   private final Section<UpstreamList> list = new Section<>(new UpstreamList(List.of(upstream)));
-  private final List<LimitReport> told = new ArrayList<>();
-  private final NamedLimits limits =
-      new NamedLimits(List::of, (report, to) -> told.add(report), list, timers);
+  private final List<RateLimitReport> told = new ArrayList<>();
+  private final AnnouncedRateLimits limits =
+      new AnnouncedRateLimits(List::of, (report, to) -> told.add(report), list, timers);
 
   private void answer(long sentMs, OptionalDouble limitPerS) {
     limits.onAnswer(upstream, sentMs, limitPerS);
@@ -54,30 +54,30 @@
   void allowsWhatTheLimitAllowsInFourSeconds() {
     answer(timers.nowMs(), OptionalDouble.of(1.4));
 
-    assertThat(limits.of(upstream)).isEqualTo(Optional.of(new Allowance(5, 4_000, 0, 4_000)));
+    assertThat(limits.find(upstream)).isEqualTo(Optional.of(new RateLimit(5, 4_000, 0, 4_000)));
   }
 
   @Test
   void keepsSmallLimitOverLongerSpan() {
     answer(timers.nowMs(), OptionalDouble.of(0.2));
 
-    assertThat(limits.of(upstream)).isEqualTo(Optional.of(new Allowance(2, 10_000, 0, 4_000)));
+    assertThat(limits.find(upstream)).isEqualTo(Optional.of(new RateLimit(2, 10_000, 0, 4_000)));
   }
 
   @Test
   void limitOfNothingAllowsNothing() {
     answer(timers.nowMs(), OptionalDouble.of(0));
 
-    assertThat(limits.of(upstream).orElseThrow().most()).isEqualTo(0);
+    assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(0);
     assertThat(limits.retryAfterMs(upstream)).isEqualTo(4_000);
   }
 
-  private static LimitReport naming(double limitPerS) {
-    return new LimitReport("i-1@1", OptionalDouble.of(limitPerS));
+  private static RateLimitReport naming(double limitPerS) {
+    return new RateLimitReport("i-1@1", OptionalDouble.of(limitPerS));
   }
 
-  private static LimitReport over() {
-    return new LimitReport("i-1@1", OptionalDouble.empty());
+  private static RateLimitReport over() {
+    return new RateLimitReport("i-1@1", OptionalDouble.empty());
   }
 
   @Test
@@ -130,12 +130,12 @@
 
   @Test
   void limitThatOthersHaveHeardOfHoldsHereToo() {
-    limits.onHeard(naming(1));
-    assertThat(limits.of(upstream)).isPresent();
+    limits.onReport(naming(1));
+    assertThat(limits.find(upstream)).isPresent();
 
     timers.advanceMs(2_001);
-    limits.onHeard(over());
-    assertThat(limits.of(upstream)).isEmpty();
+    limits.onReport(over());
+    assertThat(limits.find(upstream)).isEmpty();
   }
 
   // The report was sent before the upstream named its limit, and came late.
@@ -144,27 +144,27 @@
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(2_000);
 
-    limits.onHeard(over());
-    limits.onHeard(naming(500));
-    assertThat(limits.of(upstream).orElseThrow().most()).isEqualTo(4);
+    limits.onReport(over());
+    limits.onReport(naming(500));
+    assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(4);
 
     timers.advanceMs(1);
-    limits.onHeard(naming(500));
-    assertThat(limits.of(upstream).orElseThrow().most()).isEqualTo(2_000);
+    limits.onReport(naming(500));
+    assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(2_000);
   }
 
   @Test
   void reportThatAllowsLessCountsAtOnce() {
     answer(timers.nowMs(), OptionalDouble.of(500));
 
-    limits.onHeard(naming(1));
+    limits.onReport(naming(1));
 
-    assertThat(limits.of(upstream).orElseThrow().most()).isEqualTo(4);
+    assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(4);
   }
 
   @Test
   void reportAboutAnEarlierProcessIsPassedOver() {
-    limits.onHeard(new LimitReport("i-1@0", OptionalDouble.of(1)));
+    limits.onReport(new RateLimitReport("i-1@0", OptionalDouble.of(1)));
 
     assertThat(limits.limitedCount()).isEqualTo(0);
   }
@@ -178,7 +178,7 @@
     list.publish(UpstreamList.empty());
     list.publish(new UpstreamList(List.of(upstream)));
 
-    assertThat(limits.of(upstream)).isPresent();
+    assertThat(limits.find(upstream)).isPresent();
   }
 
   @Test
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/LimitWorld.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
@@ -2,9 +2,9 @@
 
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.permit.ReadFleet;
 import io.mothrill.core.forward.permit.SendPermits;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.permit.SimulatedFleet;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.TestUpstreams;
 import io.mothrill.core.forward.upstream.UpstreamList;
 import io.mothrill.core.platform.InstanceRecord;
@@ -18,7 +18,7 @@
  * Instances before one upstream that names limits: each sends all that it may, hears the answers
  * after a while, and tells the others in reports that are late or lost.
  */
-final class LimitWorld {
+final class RateLimitSimulation {
 
   static final int DOMAINS = 4;
 
@@ -30,18 +30,18 @@
 
   private final ManualTimers timers;
   private final Random random;
-  private final ReadFleet fleet;
+  private final SimulatedFleet fleet;
   private final Map<String, Instance> living = new TreeMap<>();
-  private final ServingUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
+  private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
   private Saying saying = new Saying(0, OptionalDouble.empty());
 
   /** What the upstream names from some moment on. */
   private record Saying(int number, OptionalDouble limitPerS) {}
 
-  LimitWorld(ManualTimers timers, Random random, int count) {
+  RateLimitSimulation(ManualTimers timers, Random random, int count) {
     this.timers = timers;
     this.random = random;
-    this.fleet = new ReadFleet(timers);
+    this.fleet = new SimulatedFleet(timers);
     for (int number = 0; number < count; number++) {
       start("edge-" + number, number % DOMAINS);
     }
@@ -68,7 +68,7 @@
     saying = new Saying(saying.number() + 1, newLimitPerS);
   }
 
-  private void deliver(Instance from, LimitReport report, List<InstanceRecord> to) {
+  private void deliver(Instance from, RateLimitReport report, List<InstanceRecord> to) {
     if (from.member.isCutOff()) {
       return;
     }
@@ -80,25 +80,25 @@
                     random.nextInt(MAX_DELAY_MS), () -> hear(living.get(told.id()), report)));
   }
 
-  private static void hear(Instance instance, LimitReport report) {
+  private static void hear(Instance instance, RateLimitReport report) {
     if (instance != null && !instance.member.isCutOff()) {
-      instance.limits.onHeard(report);
+      instance.limits.onReport(report);
     }
   }
 
   /** One instance, as far as it sends to the upstream. */
   final class Instance {
 
-    private final ReadFleet.Member member;
-    private final NamedLimits limits;
+    private final SimulatedFleet.Member member;
+    private final AnnouncedRateLimits limits;
     private final SendPermits permits;
     private int toldNumber;
     private long toldMs;
 
-    private Instance(ReadFleet.Member member) {
+    private Instance(SimulatedFleet.Member member) {
       this.member = member;
       this.limits =
-          new NamedLimits(
+          new AnnouncedRateLimits(
               member::others,
               (report, to) -> deliver(this, report, to),
               new Section<>(new UpstreamList(List.of(upstream))),
@@ -106,13 +106,13 @@
       this.permits = new SendPermits(member.self(), member, limits, timers);
     }
 
-    ReadFleet.Member member() {
+    SimulatedFleet.Member member() {
       return member;
     }
 
     /** Says whether it knows of a limit. */
     boolean isBounded() {
-      return limits.of(upstream).isPresent();
+      return limits.find(upstream).isPresent();
     }
 
     /** Says for how long it has known from an answer what the upstream names now. */
@@ -123,7 +123,7 @@
     /** Sends all that it may, and gives how much that was. */
     int send() {
       int sent = 0;
-      while ((isBounded() || sent < UNBOUNDED_SENDS) && permits.tryTake(upstream)) {
+      while ((isBounded() || sent < UNBOUNDED_SENDS) && permits.tryAcquire(upstream)) {
         sent++;
         await(timers.nowMs(), saying);
       }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.TestUpstreams;
 import java.util.List;
 import java.util.Optional;
@@ -17,15 +17,15 @@
   private static final int INSTANCES = 8;
 
   private final ManualTimers timers = new ManualTimers();
-  private final ReadFleet fleet = new ReadFleet(timers);
-  private final ServingUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
+  private final SimulatedFleet fleet = new SimulatedFleet(timers);
+  private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
   private int most = 4;
   private long heardMs = timers.nowMs();
 
-  private record Sender(ReadFleet.Member member, SendPermits permits) {}
+  private record Sender(SimulatedFleet.Member member, SendPermits permits) {}
 
   private List<Sender> start() {
-    List<ReadFleet.Member> members =
+    List<SimulatedFleet.Member> members =
         IntStream.range(0, INSTANCES)
             .mapToObj(number -> fleet.start("edge-" + number, "domain-" + number % 4))
             .toList();
@@ -37,15 +37,15 @@
         .toList();
   }
 
-  private Allowances allowances() {
-    return new Allowances() {
+  private RateLimits allowances() {
+    return new RateLimits() {
       @Override
-      public Optional<Allowance> of(ServingUpstream asked) {
-        return Optional.of(new Allowance(most, SPAN_MS, timers.nowMs() - heardMs, WAIT_MS));
+      public Optional<RateLimit> find(RegisteredUpstream asked) {
+        return Optional.of(new RateLimit(most, SPAN_MS, timers.nowMs() - heardMs, WAIT_MS));
       }
 
       @Override
-      public long retryAfterMs(ServingUpstream asked) {
+      public long retryAfterMs(RegisteredUpstream asked) {
         return 0;
       }
     };
@@ -53,7 +53,7 @@
 
   private int takeAll(Sender sender) {
     return (int)
-        IntStream.range(0, 5_000).filter(take -> sender.permits().tryTake(upstream)).count();
+        IntStream.range(0, 5_000).filter(take -> sender.permits().tryAcquire(upstream)).count();
   }
 
   private int takeAll(List<Sender> senders) {
@@ -123,7 +123,7 @@
     most = 2_000;
     List<Sender> senders = start();
 
-    timers.advanceMs(ReadFleet.currentMs(INSTANCES) + 1);
+    timers.advanceMs(SimulatedFleet.currentMs(INSTANCES) + 1);
 
     assertThat(takeAll(senders)).isEqualTo(1_000);
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/ReadFleet.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /** Instances that each read at times of their own who the others are. */
-public final class ReadFleet {
+public final class SimulatedFleet {
 
   /** Rows that an instance reads in a second, on average. */
   private static final int ROWS_PER_S = 6;
@@ -19,7 +19,7 @@
   private final Map<String, Member> living = new TreeMap<>();
 
   /** Creates a fleet without instances. */
-  public ReadFleet(ManualTimers timers) {
+  public SimulatedFleet(ManualTimers timers) {
     this.timers = timers;
   }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
@@ -14,13 +14,13 @@
         name,
         "hall.example",
         prefix,
-        RouteKind.REPEATABLE,
+        RouteKind.IDEMPOTENT,
         List.of(targets),
         1_000,
         300,
         1,
         2,
-        HomeRegions.anywhere(),
+        AllowedRegions.unrestricted(),
         false);
   }
 
@@ -38,7 +38,7 @@
                   List.of("a", "b"),
                   OptionalInt.empty(),
                   OptionalLong.empty(),
-                  HomeRegions.anywhere())),
+                  AllowedRegions.unrestricted())),
           CallerBounds.standard());
 
   private String nameFor(String path) {
@@ -60,10 +60,10 @@
   void weightsSplitRoute() {
     Route desk = plan.findRoute("hall.example", "/desk/7").orElseThrow();
 
-    assertThat(desk.serviceAt(0)).isEqualTo("sira");
-    assertThat(desk.serviceAt(0.89)).isEqualTo("sira");
-    assertThat(desk.serviceAt(0.91)).isEqualTo("sira-next");
-    assertThat(desk.serviceAt(0.999)).isEqualTo("sira-next");
+    assertThat(desk.selectService(0)).isEqualTo("sira");
+    assertThat(desk.selectService(0.89)).isEqualTo("sira");
+    assertThat(desk.selectService(0.91)).isEqualTo("sira-next");
+    assertThat(desk.selectService(0.999)).isEqualTo("sira-next");
   }
 
   @Test
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
@@ -22,7 +22,7 @@
 
   private static int takeAll(SharedRetryBudget budget) {
     int taken = 0;
-    while (budget.tryTake(SERVICE)) {
+    while (budget.tryAcquire(SERVICE)) {
       taken++;
     }
     return taken;
@@ -45,7 +45,7 @@
       }
       timers.advanceMs(BOUNDS.windowMs() / 100);
     }
-    assertThat((double) taken).isAtMost(BOUNDS.share() * requests + BOUNDS.extraCount());
+    assertThat((double) taken).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
   }
 
   // With seventy instances the part of each is less than one send. A caller whose request met an
@@ -77,7 +77,7 @@
       }
       timers.advanceMs(MANY.windowMs() / 70);
     }
-    assertThat((double) taken).isAtMost(MANY.share() * 70 * 70 + MANY.extraCount());
+    assertThat((double) taken).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
   }
 
   // With more instances than sends are allowed besides, only what requests earn may be spent.
@@ -100,6 +100,6 @@
     SharedRetryBudget budget = budget(6);
     takeAll(budget);
 
-    assertThat(budget.tryTake("asistan")).isTrue();
+    assertThat(budget.tryAcquire("asistan")).isTrue();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -3,9 +3,9 @@
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
+import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.forward.plan.CallerBounds;
 import io.mothrill.core.forward.plan.ForwardingPlan;
-import io.mothrill.core.forward.plan.HomeRegions;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerMessage;
@@ -106,7 +106,7 @@
         List.of("key of " + name),
         OptionalInt.empty(),
         OptionalLong.of(prepaidTokens + firstTokens.get(name)),
-        HomeRegions.anywhere());
+        AllowedRegions.unrestricted());
   }
 
   long prepaidTokens() {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachabilityTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class DomainReachTest {
+class DomainReachabilityTest {
 
   private static final InstanceRecord SELF = instance("konya-1", "konya");
   private static final List<InstanceRecord> OTHERS =
@@ -29,7 +29,8 @@
   private int askedCount;
   private final Set<String> askedIds = new HashSet<>();
   private List<InstanceRecord> others = OTHERS;
-  private final DomainReach reach = new DomainReach(SELF, () -> others, this::ask, timers);
+  private final DomainReachability reach =
+      new DomainReachability(SELF, () -> others, this::ask, timers);
 
   private static InstanceRecord instance(String id, String domain) {
     return new InstanceRecord(id, id, domain, "host of " + id, 1, false);
@@ -60,9 +61,9 @@
 
     placeRequestsFor(1_000);
 
-    assertThat(reach.isOpen("kayseri")).isFalse();
-    assertThat(reach.isOpen("ankara")).isTrue();
-    assertThat(reach.isOpen("konya")).isTrue();
+    assertThat(reach.isReachable("kayseri")).isFalse();
+    assertThat(reach.isReachable("ankara")).isTrue();
+    assertThat(reach.isReachable("konya")).isTrue();
   }
 
   @Test
@@ -73,7 +74,7 @@
 
     placeRequestsFor(500);
 
-    assertThat(reach.isOpen("kayseri")).isTrue();
+    assertThat(reach.isReachable("kayseri")).isTrue();
   }
 
   // One instance of the domain stands still while the other answers: the way there is open.
@@ -83,7 +84,7 @@
 
     for (int check = 0; check < 50; check++) {
       timers.advanceMs(100);
-      assertThat(reach.isOpen("kayseri")).isTrue();
+      assertThat(reach.isReachable("kayseri")).isTrue();
     }
   }
 
@@ -95,15 +96,15 @@
 
     placeRequestsFor(3_000);
 
-    assertThat(reach.isOpen("kayseri")).isTrue();
+    assertThat(reach.isReachable("kayseri")).isTrue();
   }
 
   @Test
   void asksNobodyWhileNoticesCome() {
     for (int notice = 0; notice < 20; notice++) {
       place();
-      reach.onHeard("host of kayseri-2");
-      reach.onHeard("host of ankara-1");
+      reach.onMessageFromHost("host of kayseri-2");
+      reach.onMessageFromHost("host of ankara-1");
       timers.advanceMs(200);
     }
 
@@ -115,8 +116,8 @@
   void asksNobodyWhileUpstreamsAnswer() {
     for (int event = 0; event < 20; event++) {
       place();
-      reach.onHeardFrom("kayseri");
-      reach.onHeardFrom("ankara");
+      reach.onMessageFromDomain("kayseri");
+      reach.onMessageFromDomain("ankara");
       timers.advanceMs(200);
     }
 
@@ -150,7 +151,7 @@
 
     placeRequestsFor(10_000);
 
-    assertThat(reach.isOpen("kayseri")).isTrue();
+    assertThat(reach.isReachable("kayseri")).isTrue();
   }
 
   private static List<InstanceRecord> domainOf(int count) {
@@ -161,7 +162,7 @@
 
   /** Chooses an upstream, as each request does. */
   private void place() {
-    reach.isOpen("elsewhere");
+    reach.isReachable("elsewhere");
   }
 
   private void placeRequestsFor(long durationMs) {
@@ -175,6 +176,6 @@
   void domainWithoutInstancesCountsAsOpen() {
     placeRequestsFor(3_000);
 
-    assertThat(reach.isOpen("elsewhere")).isTrue();
+    assertThat(reach.isReachable("elsewhere")).isTrue();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
@@ -11,14 +11,14 @@
   private final ManualTimers timers = new ManualTimers();
   private final LeavingUpstreams leaving = new LeavingUpstreams(timers);
 
-  private static ServingUpstream startedAt(long startedMs) {
+  private static RegisteredUpstream startedAt(long startedMs) {
     return TestUpstreams.started("i-1", "konya", startedMs);
   }
 
   // Its entry lapses while the store is silent, and is back as ready before the leave is written.
   @Test
   void leaveOutlastsAnEntryThatLapses() {
-    leaving.note(startedAt(1));
+    leaving.markLeaving(startedAt(1));
 
     timers.advanceMs(12_000);
     leaving.retain(UpstreamList.empty());
@@ -29,14 +29,14 @@
 
   @Test
   void nextProcessUnderTheSameNameTakesRequests() {
-    leaving.note(startedAt(1));
+    leaving.markLeaving(startedAt(1));
 
     assertThat(leaving.isLeaving(startedAt(2))).isFalse();
   }
 
   @Test
   void upstreamsThatHaveGoneAreForgotten() {
-    leaving.note(startedAt(1));
+    leaving.markLeaving(startedAt(1));
 
     timers.advanceMs(600_001);
     leaving.retain(UpstreamList.empty());
@@ -47,7 +47,7 @@
   @Test
   void countsWhatAnUpstreamGetsAfterItsWord() {
     leaving.onSent(startedAt(1));
-    leaving.note(startedAt(1));
+    leaving.markLeaving(startedAt(1));
     leaving.onSent(startedAt(1));
 
     assertThat(leaving.sentCount()).isEqualTo(1);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/TestUpstreams.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/TestUpstreams.java
@@ -8,8 +8,8 @@
   private TestUpstreams() {}
 
   /** Makes one start of a warm upstream that takes requests. */
-  public static ServingUpstream started(String id, String domain, long startedMs) {
-    return new ServingUpstream(
+  public static RegisteredUpstream started(String id, String domain, long startedMs) {
+    return new RegisteredUpstream(
         id,
         "asistan",
         "10.0.0.1",
@@ -18,6 +18,6 @@
         16,
         false,
         OptionalLong.of(0),
-        new UpstreamWord(startedMs, 1));
+        new RegistrationVersion(startedMs, 1));
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
@@ -8,9 +8,9 @@
 
 class UpstreamListTest {
 
-  private static ServingUpstream upstream(String id, String host) {
-    return new ServingUpstream(
-        id, "sira", host, 80, "konya", 6, false, OptionalLong.empty(), UpstreamWord.UNTOLD);
+  private static RegisteredUpstream upstream(String id, String host) {
+    return new RegisteredUpstream(
+        id, "sira", host, 80, "konya", 6, false, OptionalLong.empty(), RegistrationVersion.UNKNOWN);
   }
 
   private final UpstreamList earlier =
@@ -18,16 +18,18 @@
 
   @Test
   void keepsWhatIsMissingAfterAnOutage() {
-    UpstreamList kept = new UpstreamList(List.of(upstream("i-2", "10.0.0.2"))).keeping(earlier);
+    UpstreamList kept =
+        new UpstreamList(List.of(upstream("i-2", "10.0.0.2"))).withMissingFrom(earlier);
 
-    assertThat(kept.takingOf("sira").stream().map(ServingUpstream::id))
+    assertThat(kept.acceptingFor("sira").stream().map(RegisteredUpstream::id))
         .containsExactly("i-1", "i-2");
   }
 
   // The address of an upstream has passed on to another one: the first is surely gone.
   @Test
   void doesNotKeepAnUpstreamWhoseAddressIsTaken() {
-    UpstreamList kept = new UpstreamList(List.of(upstream("i-9", "10.0.0.1"))).keeping(earlier);
+    UpstreamList kept =
+        new UpstreamList(List.of(upstream("i-9", "10.0.0.1"))).withMissingFrom(earlier);
 
     assertThat(kept.contains("i-1")).isFalse();
     assertThat(kept.contains("i-2")).isTrue();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -4,7 +4,7 @@
 
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.plan.HomeRegions;
+import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.forward.request.Prompt;
 import java.util.HashSet;
 import java.util.List;
@@ -26,8 +26,8 @@
   private final Set<String> warming = new HashSet<>();
   private final ManualTimers timers = new ManualTimers();
   private final UpstreamLoads loads = new UpstreamLoads();
-  private final PromptMemory memory = new PromptMemory();
-  private final ReadingSpeed speed = new ReadingSpeed();
+  private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
+  private final PrefillSpeed speed = new PrefillSpeed();
   private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
   private final UpstreamPicker picker =
       new UpstreamPicker(
@@ -46,8 +46,8 @@
         new UpstreamList(IntStream.range(0, 6).mapToObj(i -> upstream(i, false)).toList()));
   }
 
-  private static ServingUpstream upstream(int number, boolean leaving) {
-    return new ServingUpstream(
+  private static RegisteredUpstream upstream(int number, boolean leaving) {
+    return new RegisteredUpstream(
         "i-" + number,
         SERVICE,
         "10.0.0." + number,
@@ -56,7 +56,7 @@
         8,
         leaving,
         OptionalLong.empty(),
-        UpstreamWord.UNTOLD);
+        RegistrationVersion.UNKNOWN);
   }
 
   private static Prompt prompt(String subject, long ownTokens) {
@@ -69,14 +69,19 @@
 
   private static UpstreamQuery query(Optional<Prompt> prompt, Set<String> tried) {
     return new UpstreamQuery(
-        SERVICE, AIM_MS, prompt, HomeRegions.anywhere(), tried, UpstreamQuery.Standing.sound());
+        SERVICE,
+        AIM_MS,
+        prompt,
+        AllowedRegions.unrestricted(),
+        tried,
+        UpstreamQuery.Eligibility.unrestricted());
   }
 
   private String pick(Prompt prompt) {
     return picker.pick(query(Optional.of(prompt), Set.of())).orElseThrow().id();
   }
 
-  private Optional<ServingUpstream> pickPlain(Set<String> tried) {
+  private Optional<RegisteredUpstream> pickPlain(Set<String> tried) {
     return picker.pick(query(Optional.empty(), tried));
   }
 
@@ -102,7 +107,7 @@
   @Test
   void promptWaitsAtItsHomeAsLongAsItIsInTime() {
     String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onNotice(4_000, speed.tokensPerMs(), timers.nowMs());
+    loads.of(home + "@0").onPromptNotice(4_000, speed.tokensPerMs(), timers.nowMs());
 
     assertThat(pick(prompt("saver-7", 100))).isEqualTo(home);
   }
@@ -112,7 +117,7 @@
   @Test
   void promptLeavesItsHomeWhenItWouldBeLateThere() {
     String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onNotice(50_000, speed.tokensPerMs(), timers.nowMs());
+    loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
     assertThat(pick(prompt("saver-7", 100))).isNotEqualTo(home);
   }
@@ -120,7 +125,7 @@
   @Test
   void whatOthersAnnouncedIsReadAfterWhile() {
     String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onNotice(50_000, speed.tokensPerMs(), timers.nowMs());
+    loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
     timers.advanceMs(2_000);
 
@@ -131,7 +136,7 @@
   void leavingUpstreamGetsNothingNew() {
     list.publish(new UpstreamList(List.of(upstream(1, true), upstream(2, false))));
 
-    assertThat(pickPlain(Set.of()).map(ServingUpstream::id)).isEqualTo(Optional.of("i-2"));
+    assertThat(pickPlain(Set.of()).map(RegisteredUpstream::id)).isEqualTo(Optional.of("i-2"));
   }
 
   @Test
@@ -157,9 +162,9 @@
   // to the others, also when one of those has just failed, and there only if there is no other.
   @Test
   void upstreamsOfDomainThatIsCutOffComeLast() {
-    ServingUpstream here = upstream(1, false);
-    ServingUpstream there =
-        new ServingUpstream(
+    RegisteredUpstream here = upstream(1, false);
+    RegisteredUpstream there =
+        new RegisteredUpstream(
             "i-2",
             SERVICE,
             "10.1.0.2",
@@ -168,7 +173,7 @@
             8,
             false,
             OptionalLong.empty(),
-            UpstreamWord.UNTOLD);
+            RegistrationVersion.UNKNOWN);
     list.publish(new UpstreamList(List.of(here, there)));
     cutOff.add("kayseri");
     loads.of(here.incarnation()).onFailure(timers.nowMs());
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStartTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
@@ -9,18 +9,18 @@
 import org.junit.jupiter.api.Test;
 
 /** A process starts again under the id of an earlier one; nothing of that one is believed of it. */
-class UpstreamStartTest {
+class UpstreamRestartTest {
 
   private static final Prompt PROMPT =
       new Prompt(
           "m", 6_000, 100, List.of(new Prompt.Part("saver", 5_000), new Prompt.Part("own", 1_000)));
 
-  private final NewestWords words = new NewestWords();
+  private final StaleRegistrationFilter words = new StaleRegistrationFilter();
   private final UpstreamLoads loads = new UpstreamLoads();
-  private final PromptMemory memory = new PromptMemory();
+  private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
 
-  private static ServingUpstream said(long startedMs, long number, boolean leaving) {
-    return new ServingUpstream(
+  private static RegisteredUpstream said(long startedMs, long number, boolean leaving) {
+    return new RegisteredUpstream(
         "i-1",
         "sira",
         "10.0.0.1",
@@ -29,17 +29,17 @@
         6,
         leaving,
         OptionalLong.empty(),
-        new UpstreamWord(startedMs, number));
+        new RegistrationVersion(startedMs, number));
   }
 
-  private static UpstreamList list(ServingUpstream... upstreams) {
+  private static UpstreamList list(RegisteredUpstream... upstreams) {
     return new UpstreamList(List.of(upstreams));
   }
 
   @Test
   void loadAndFailuresOfTheEarlierProcessAreForgotten() {
-    ServingUpstream earlier = said(1_000, 9, false);
-    ServingUpstream later = said(2_000, 1, false);
+    RegisteredUpstream earlier = said(1_000, 9, false);
+    RegisteredUpstream later = said(2_000, 1, false);
     loads.of(earlier.incarnation()).onReport(6, 20, 0);
     loads.of(earlier.incarnation()).onFailure(0);
 
@@ -51,19 +51,19 @@
 
   @Test
   void promptsThatTheEarlierProcessReadAreReadAgain() {
-    ServingUpstream earlier = said(1_000, 9, false);
-    ServingUpstream later = said(2_000, 1, false);
+    RegisteredUpstream earlier = said(1_000, 9, false);
+    RegisteredUpstream later = said(2_000, 1, false);
     memory.onSent(PROMPT, earlier.incarnation(), 0);
 
-    assertThat(memory.unreadTokens(PROMPT, earlier.incarnation(), 1)).isEqualTo(1_000);
-    assertThat(memory.unreadTokens(PROMPT, later.incarnation(), 1)).isEqualTo(6_000);
+    assertThat(memory.uncachedTokens(PROMPT, earlier.incarnation(), 1)).isEqualTo(1_000);
+    assertThat(memory.uncachedTokens(PROMPT, later.incarnation(), 1)).isEqualTo(6_000);
   }
 
   // The process crashed with a request under way, and its connection fell silent. The request's
   // caller must not wait for an answer that nobody works on.
   @Test
   void requestsAtTheEarlierProcessAreToldOnce() {
-    ServingUpstream earlier = said(1_000, 9, false);
+    RegisteredUpstream earlier = said(1_000, 9, false);
     UpstreamLoad load = loads.of(earlier.incarnation());
     AtomicInteger told = new AtomicInteger();
     load.onSent(0);
@@ -82,9 +82,9 @@
   // the later process.
   @Test
   void lateWordOfTheEarlierProcessDoesNotBringItBack() {
-    UpstreamList newest = words.correct(list(said(2_000, 1, false)), UpstreamList.empty());
+    UpstreamList newest = words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
 
-    UpstreamList corrected = words.correct(list(said(1_000, 9, false)), newest);
+    UpstreamList corrected = words.replaceStale(list(said(1_000, 9, false)), newest);
 
     assertThat(corrected.containsIncarnation(said(2_000, 1, false).incarnation())).isTrue();
     assertThat(corrected.containsIncarnation(said(1_000, 9, false).incarnation())).isFalse();
@@ -94,26 +94,26 @@
   // that. It must get nothing new.
   @Test
   void lateWordDoesNotTakeBackThatAnUpstreamLeaves() {
-    UpstreamList leaving = words.correct(list(said(1_000, 5, true)), UpstreamList.empty());
+    UpstreamList leaving = words.replaceStale(list(said(1_000, 5, true)), UpstreamList.empty());
 
-    UpstreamList corrected = words.correct(list(said(1_000, 4, false)), leaving);
+    UpstreamList corrected = words.replaceStale(list(said(1_000, 4, false)), leaving);
 
-    assertThat(corrected.takingOf("sira")).isEmpty();
+    assertThat(corrected.acceptingFor("sira")).isEmpty();
   }
 
   // The later process has gone, and then a word of the earlier one arrives: nobody is there.
   @Test
   void lateWordCountsForNothingOnceTheUpstreamIsGone() {
-    words.correct(list(said(2_000, 1, false)), UpstreamList.empty());
-    UpstreamList gone = words.correct(UpstreamList.empty(), list(said(2_000, 1, false)));
+    words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
+    UpstreamList gone = words.replaceStale(UpstreamList.empty(), list(said(2_000, 1, false)));
 
-    assertThat(words.correct(list(said(1_000, 9, false)), gone).all()).isEmpty();
+    assertThat(words.replaceStale(list(said(1_000, 9, false)), gone).all()).isEmpty();
   }
 
   @Test
   void processThatTellsNoStartIsTakenAsItIs() {
-    ServingUpstream untold =
-        new ServingUpstream(
+    RegisteredUpstream untold =
+        new RegisteredUpstream(
             "i-1",
             "sira",
             "10.0.0.1",
@@ -122,9 +122,9 @@
             6,
             false,
             OptionalLong.empty(),
-            UpstreamWord.UNTOLD);
-    UpstreamList before = words.correct(list(untold), UpstreamList.empty());
+            RegistrationVersion.UNKNOWN);
+    UpstreamList before = words.replaceStale(list(untold), UpstreamList.empty());
 
-    assertThat(words.correct(list(untold), before).takingOf("sira")).hasSize(1);
+    assertThat(words.replaceStale(list(untold), before).acceptingFor("sira")).hasSize(1);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamNewsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -4,7 +4,7 @@
 
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.plan.HomeRegions;
+import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.platform.InstanceRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -19,7 +19,7 @@
 // Pattern: 40 of 100 upstreams crash and come back under other names while no instance can read the
 // list. Of 60 instances each would find each of the 40 by a request of its own: thousands of sends
 // that do not run, more than may be sent again, so their callers are refused.
-class UpstreamNewsTest {
+class UpstreamStatusBroadcastTest {
 
   private static final String SERVICE = "asistan";
   private static final int INSTANCES = 60;
@@ -39,10 +39,12 @@
   private final Section<UpstreamList> list =
       new Section<>(
           new UpstreamList(
-              IntStream.range(0, UPSTREAMS).mapToObj(UpstreamNewsTest::upstream).toList()));
+              IntStream.range(0, UPSTREAMS)
+                  .mapToObj(UpstreamStatusBroadcastTest::upstream)
+                  .toList()));
 
-  private static ServingUpstream upstream(int number) {
-    return new ServingUpstream(
+  private static RegisteredUpstream upstream(int number) {
+    return new RegisteredUpstream(
         "i-" + number,
         SERVICE,
         "10.1.0." + number,
@@ -51,7 +53,7 @@
         16,
         false,
         OptionalLong.of(0),
-        UpstreamWord.UNTOLD);
+        RegistrationVersion.UNKNOWN);
   }
 
   private static String domain(int number) {
@@ -63,27 +65,27 @@
     private final UpstreamLoads loads = new UpstreamLoads();
     private final Set<String> ended = new HashSet<>();
     private final LeavingUpstreams leaving = new LeavingUpstreams(timers);
-    private final UpstreamNews news;
+    private final UpstreamStatusBroadcast news;
     private final UpstreamPicker picker;
 
-    Instance(int number, FateReports reports) {
+    Instance(int number, UpstreamStatusReportSender reports) {
       this.record =
           new InstanceRecord("e-" + number, "e-" + number, domain(number), "::1", 1, false);
       this.news =
-          new UpstreamNews(
+          new UpstreamStatusBroadcast(
               record,
               this::others,
               reports,
               list,
               loads,
-              new WarmUpSigns() {
+              new WarmUpListener() {
                 @Override
-                public void onEnded(ServingUpstream upstream) {
+                public void onProcessEnded(RegisteredUpstream upstream) {
                   ended.add(upstream.id());
                 }
 
                 @Override
-                public void onSaid(ServingUpstream upstream, long leftMs) {}
+                public void onWarmUpReported(RegisteredUpstream upstream, long leftMs) {}
               },
               leaving,
               timers);
@@ -104,31 +106,31 @@
       return instances.stream().filter(other -> other != this).map(other -> other.record).toList();
     }
 
-    private ServingUpstream pick() {
+    private RegisteredUpstream pick() {
       return picker
           .pick(
               new UpstreamQuery(
                   SERVICE,
                   800,
                   Optional.empty(),
-                  HomeRegions.anywhere(),
+                  AllowedRegions.unrestricted(),
                   Set.of(),
-                  UpstreamQuery.Standing.sound()))
+                  UpstreamQuery.Eligibility.unrestricted()))
           .orElseThrow();
     }
   }
 
-  private void startFleet(FateReports reports) {
+  private void startFleet(UpstreamStatusReportSender reports) {
     IntStream.range(0, INSTANCES).forEach(number -> instances.add(new Instance(number, reports)));
   }
 
-  private void deliver(FateReport report, List<InstanceRecord> to) {
+  private void deliver(UpstreamStatusReport report, List<InstanceRecord> to) {
     timers.after(
         1,
         () ->
             instances.stream()
                 .filter(instance -> to.contains(instance.record))
-                .forEach(instance -> instance.news.onHeard(report)));
+                .forEach(instance -> instance.news.onReport(report)));
   }
 
   /** Plays the cut, and counts the requests that met a replaced upstream. */
@@ -137,10 +139,10 @@
     for (int second = 0; second < SECONDS; second++) {
       for (int turn = 0; turn < REQUESTS_PER_S; turn++) {
         for (Instance instance : instances) {
-          ServingUpstream chosen = instance.pick();
+          RegisteredUpstream chosen = instance.pick();
           if (Integer.parseInt(chosen.id().substring(2)) < REPLACED) {
             finds++;
-            instance.news.onFound(chosen, UpstreamFate.REPLACED);
+            instance.news.onDetected(chosen, UpstreamStatus.REPLACED);
           }
         }
         timers.advanceMs(1_000 / REQUESTS_PER_S);
@@ -167,7 +169,7 @@
   void processThatEndedIsAvoidedAndTakenToWarmUpEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onFound(upstream(3), UpstreamFate.ENDED);
+    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.ENDED);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -181,7 +183,7 @@
   void upstreamThatSaysItLeavesIsKnownEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onFound(upstream(3), UpstreamFate.LEAVING);
+    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -194,9 +196,9 @@
   void leaveIsTakenAlsoOfAnUpstreamThatIsAvoided() {
     startFleet(this::deliver);
     Instance other = instances.get(1);
-    other.loads.of(upstream(3).incarnation()).onFull(timers.nowMs(), 250);
+    other.loads.of(upstream(3).incarnation()).avoidFor(timers.nowMs(), 250);
 
-    instances.get(0).news.onFound(upstream(3), UpstreamFate.LEAVING);
+    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     assertThat(other.leaving.isLeaving(upstream(3))).isTrue();
@@ -207,7 +209,7 @@
   void unreachableUpstreamIsToldInTheOwnDomainOnly() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onFound(upstream(3), UpstreamFate.UNREACHABLE);
+    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.UNREACHABLE);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -222,7 +224,7 @@
     startFleet(this::deliver);
     Instance one = instances.get(0);
 
-    one.news.onHeard(new FateReport("i-3@0", "10.9.9.9", 80, UpstreamFate.REPLACED));
+    one.news.onReport(new UpstreamStatusReport("i-3@0", "10.9.9.9", 80, UpstreamStatus.REPLACED));
 
     assertThat(one.loads.of("i-3@0").isAvoided(timers.nowMs())).isFalse();
   }
@@ -234,11 +236,11 @@
     Instance one = instances.get(0);
 
     IntStream.range(0, UPSTREAMS)
-        .forEach(number -> one.news.onFound(upstream(number), UpstreamFate.ENDED));
+        .forEach(number -> one.news.onDetected(upstream(number), UpstreamStatus.ENDED));
 
     assertThat(one.news.sentCount()).isEqualTo(20);
     timers.advanceMs(2_000);
-    one.news.onFound(upstream(1), UpstreamFate.ENDED);
+    one.news.onDetected(upstream(1), UpstreamStatus.ENDED);
     assertThat(one.news.sentCount()).isEqualTo(21);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/view/StateFollowerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
@@ -6,9 +6,9 @@
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.CallerBounds;
 import io.mothrill.core.forward.plan.ForwardingPlan;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
+import io.mothrill.core.forward.upstream.RegistrationVersion;
 import io.mothrill.core.forward.upstream.UpstreamList;
-import io.mothrill.core.forward.upstream.UpstreamWord;
 import io.mothrill.core.platform.error.PlatformException;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,11 +19,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-class StateFollowerTest {
+class StatePollerTest {
 
   private static final ViewSettings SETTINGS = new ViewSettings(500, 500, 2_500);
-  private static final ServingUpstream LIVING =
-      new ServingUpstream(
+  private static final RegisteredUpstream LIVING =
+      new RegisteredUpstream(
           "i-1",
           "sira",
           "10.0.0.1",
@@ -32,7 +32,7 @@
           6,
           false,
           OptionalLong.empty(),
-          UpstreamWord.UNTOLD);
+          RegistrationVersion.UNKNOWN);
 
   private final ManualTimers timers = new ManualTimers();
   private final Section<ForwardingPlan> plan = new Section<>(ForwardingPlan.unknown());
@@ -44,28 +44,28 @@
     return new ForwardingPlan(number, List.of(), List.of(), List.of(), CallerBounds.standard());
   }
 
-  private static final class Store implements DeclaredState {
+  private static final class Store implements StateSource {
     private ForwardingPlan newest = version(1);
     private Set<String> evacuated = Set.of();
     private UpstreamList registered = new UpstreamList(List.of(LIVING));
-    private Optional<CompletableFuture<Declaration>> delayed = Optional.empty();
-    private final List<ReadExtent> extents = new ArrayList<>();
+    private Optional<CompletableFuture<DeclaredConfig>> delayed = Optional.empty();
+    private final List<ReadMode> extents = new ArrayList<>();
     private boolean away;
     private boolean hangs;
 
     @Override
-    public CompletableFuture<Declaration> readDeclaration(ReadExtent extent) {
+    public CompletableFuture<DeclaredConfig> readConfig(ReadMode extent) {
       extents.add(extent);
       if (delayed.isPresent()) {
         return delayed.get();
       }
       return away
           ? failed()
-          : CompletableFuture.completedFuture(new Declaration(Optional.of(newest), evacuated));
+          : CompletableFuture.completedFuture(new DeclaredConfig(Optional.of(newest), evacuated));
     }
 
     @Override
-    public CompletableFuture<UpstreamList> readUpstreams(ReadExtent extent) {
+    public CompletableFuture<UpstreamList> readUpstreams(ReadMode extent) {
       if (hangs) {
         return new CompletableFuture<>();
       }
@@ -82,7 +82,7 @@
   }
 
   private void follow(ViewSettings settings) {
-    var unused = new StateFollower(store, plan, evacuatedDomains, upstreams, timers, settings);
+    var unused = new StatePoller(store, plan, evacuatedDomains, upstreams, timers, settings);
   }
 
   @Test
@@ -163,7 +163,7 @@
     store.away = false;
     store.registered = UpstreamList.empty();
 
-    timers.advanceMs(settings.returnMs());
+    timers.advanceMs(settings.recoveryGraceMs());
     assertThat(upstreams.read().contains("i-1")).isTrue();
 
     timers.advanceMs(1);
@@ -241,14 +241,14 @@
   @Test
   void lateAnswerDoesNotTakeAnEvacuationBack() {
     follow();
-    CompletableFuture<Declaration> late = new CompletableFuture<>();
+    CompletableFuture<DeclaredConfig> late = new CompletableFuture<>();
     store.delayed = Optional.of(late);
     timers.advanceMs(500);
     store.delayed = Optional.empty();
     store.evacuated = Set.of("konya");
     timers.advanceMs(500);
 
-    late.complete(new Declaration(Optional.empty(), Set.of()));
+    late.complete(new DeclaredConfig(Optional.empty(), Set.of()));
 
     assertThat(evacuatedDomains.read()).containsExactly("konya");
   }
@@ -262,11 +262,11 @@
 
     assertThat(store.extents)
         .containsExactly(
-            ReadExtent.WHOLE,
-            ReadExtent.CHANGES,
-            ReadExtent.CHANGES,
-            ReadExtent.CHANGES,
-            ReadExtent.WHOLE)
+            ReadMode.FULL,
+            ReadMode.INCREMENTAL,
+            ReadMode.INCREMENTAL,
+            ReadMode.INCREMENTAL,
+            ReadMode.FULL)
         .inOrder();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertWithMessage;
 
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
@@ -40,9 +40,9 @@
   private static void play(long seed, int count) {
     Random random = new Random(seed);
     ManualTimers timers = new ManualTimers();
-    WarmUpWorld world = new WarmUpWorld(timers, count);
+    WarmUpSimulation world = new WarmUpSimulation(timers, count);
     Deque<Long> sentMs = new ArrayDeque<>();
-    ServingUpstream cold = world.turnCold(1, 3_000);
+    RegisteredUpstream cold = world.turnCold(1, 3_000);
     for (int step = 0; step < STEPS; step++) {
       disturb(world, random, count);
       if (random.nextInt(4) == 0) {
@@ -50,15 +50,15 @@
       }
       world.instances().stream()
           .filter(instance -> random.nextInt(1 + count / 6) == 0)
-          .forEach(WarmUpWorld.Instance::read);
+          .forEach(WarmUpSimulation.Instance::read);
       sendAll(world, cold, timers.nowMs(), sentMs);
       timers.advanceMs(STEP_MS);
     }
   }
 
-  private static void disturb(WarmUpWorld world, Random random, int count) {
-    List<WarmUpWorld.Instance> instances = world.instances();
-    WarmUpWorld.Instance one = instances.get(random.nextInt(instances.size()));
+  private static void disturb(WarmUpSimulation world, Random random, int count) {
+    List<WarmUpSimulation.Instance> instances = world.instances();
+    WarmUpSimulation.Instance one = instances.get(random.nextInt(instances.size()));
     switch (random.nextInt(6)) {
       case 0 -> one.cutOff();
       case 1, 2 -> one.reconnect();
@@ -72,13 +72,13 @@
     }
   }
 
-  private static int domainOf(WarmUpWorld.Instance instance) {
+  private static int domainOf(WarmUpSimulation.Instance instance) {
     String domain = instance.record().domain();
     return Integer.parseInt(domain.substring(domain.indexOf('-') + 1));
   }
 
   private static void sendAll(
-      WarmUpWorld world, ServingUpstream cold, long nowMs, Deque<Long> sentMs) {
+      WarmUpSimulation world, RegisteredUpstream cold, long nowMs, Deque<Long> sentMs) {
     while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() >= SECOND_MS) {
       sentMs.pollFirst();
     }
@@ -86,12 +86,12 @@
         .instances()
         .forEach(
             instance -> {
-              while (instance.isWarming(cold) && instance.permits().tryTake(cold)) {
+              while (instance.isWarming(cold) && instance.permits().tryAcquire(cold)) {
                 sentMs.addLast(nowMs);
               }
             });
     assertWithMessage("sent in a second by %s", nowMs)
         .that(sentMs.size())
-        .isAtMost(WarmUpWorld.MOST_IN_A_SECOND);
+        .isAtMost(WarmUpSimulation.MOST_IN_A_SECOND);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
@@ -4,7 +4,7 @@
 
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.permit.SendPermits;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
@@ -14,18 +14,18 @@
 class WarmUpPermitsTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final WarmUpWorld world = new WarmUpWorld(timers, 8);
+  private final WarmUpSimulation world = new WarmUpSimulation(timers, 8);
 
-  private int takeAll(WarmUpWorld.Instance instance, ServingUpstream upstream) {
+  private int takeAll(WarmUpSimulation.Instance instance, RegisteredUpstream upstream) {
     return (int)
-        IntStream.range(0, 100).filter(number -> instance.permits().tryTake(upstream)).count();
+        IntStream.range(0, 100).filter(number -> instance.permits().tryAcquire(upstream)).count();
   }
 
   @Test
   void oneInstanceOfItsDomainSendsToAnUpstreamThatWarmsUp() {
-    ServingUpstream cold = world.turnCold(0, 3_000);
+    RegisteredUpstream cold = world.turnCold(0, 3_000);
 
-    List<WarmUpWorld.Instance> senders =
+    List<WarmUpSimulation.Instance> senders =
         world.instances().stream().filter(instance -> instance.permits().hasPermit(cold)).toList();
 
     assertThat(senders).hasSize(1);
@@ -34,19 +34,19 @@
 
   @Test
   void itSendsQuarterOfWhatIsAllowedInAnySecond() {
-    ServingUpstream cold = world.turnCold(0, 3_000);
-    WarmUpWorld.Instance sender = world.senderTo(cold);
+    RegisteredUpstream cold = world.turnCold(0, 3_000);
+    WarmUpSimulation.Instance sender = world.senderTo(cold);
 
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpWorld.MOST_IN_A_SECOND / 4);
+    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MOST_IN_A_SECOND / 4);
     timers.advanceMs(1_000);
     assertThat(takeAll(sender, cold)).isEqualTo(0);
     timers.advanceMs(1);
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpWorld.MOST_IN_A_SECOND / 4);
+    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MOST_IN_A_SECOND / 4);
   }
 
   @Test
   void warmUpstreamsAreNotBounded() {
-    ServingUpstream cold = world.turnCold(0, 3_000);
+    RegisteredUpstream cold = world.turnCold(0, 3_000);
     timers.advanceMs(3_000);
 
     assertThat(takeAll(world.senderTo(cold), cold)).isEqualTo(100);
@@ -56,19 +56,19 @@
   // it last knew.
   @Test
   void instanceThatDoesNotKnowTheFleetSendsNothing() {
-    ServingUpstream cold = world.turnCold(0, 3_000);
-    WarmUpWorld.Instance sender = world.senderTo(cold);
+    RegisteredUpstream cold = world.turnCold(0, 3_000);
+    WarmUpSimulation.Instance sender = world.senderTo(cold);
 
     sender.cutOff();
-    timers.advanceMs(WarmUpWorld.CURRENT_MS + 1);
-    ServingUpstream still = world.turnCold(0, 3_000);
+    timers.advanceMs(WarmUpSimulation.CURRENT_MS + 1);
+    RegisteredUpstream still = world.turnCold(0, 3_000);
 
     assertThat(sender.permits().hasPermit(still)).isFalse();
   }
 
   @Test
   void callersAreToldToComeBackWithinSecond() {
-    ServingUpstream cold = world.turnCold(0, 60_000);
+    RegisteredUpstream cold = world.turnCold(0, 60_000);
 
     SendPermits permits = world.instances().get(0).permits();
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpWorld.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -2,12 +2,12 @@
 
 import io.mothrill.core.board.Section;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.permit.ReadFleet;
 import io.mothrill.core.forward.permit.SendPermits;
+import io.mothrill.core.forward.permit.SimulatedFleet;
 import io.mothrill.core.forward.plan.WarmUpPlan;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
+import io.mothrill.core.forward.upstream.RegistrationVersion;
 import io.mothrill.core.forward.upstream.UpstreamList;
-import io.mothrill.core.forward.upstream.UpstreamWord;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.time.Timers;
 import java.util.ArrayList;
@@ -19,25 +19,25 @@
 import java.util.TreeMap;
 
 /** Instances with views of each other, and upstreams that turn cold under all of them. */
-final class WarmUpWorld {
+final class WarmUpSimulation {
 
   static final int DOMAINS = 4;
   static final int MOST_IN_A_SECOND = 18;
 
   /** Views of eight instances are current for so long. */
-  static final long CURRENT_MS = ReadFleet.currentMs(8);
+  static final long CURRENT_MS = SimulatedFleet.currentMs(8);
 
   private static final WarmUpPlan PLAN = new WarmUpPlan(3_000, 8.7);
   private static final WarmUpBounds BOUNDS = new WarmUpBounds(1.5, 5);
 
   private final ManualTimers timers;
-  private final ReadFleet fleet;
+  private final SimulatedFleet fleet;
   private final Map<String, Instance> living = new TreeMap<>();
   private final Map<Integer, Long> words = new TreeMap<>();
 
-  WarmUpWorld(ManualTimers timers, int count) {
+  WarmUpSimulation(ManualTimers timers, int count) {
     this.timers = timers;
-    this.fleet = new ReadFleet(timers);
+    this.fleet = new SimulatedFleet(timers);
     for (int number = 0; number < count; number++) {
       start("edge-" + number, number % DOMAINS);
     }
@@ -59,7 +59,7 @@
     return new ArrayList<>(living.values());
   }
 
-  Instance senderTo(ServingUpstream upstream) {
+  Instance senderTo(RegisteredUpstream upstream) {
     return instances().stream()
         .filter(instance -> instance.isSenderTo(upstream))
         .findFirst()
@@ -67,10 +67,10 @@
   }
 
   /** Lets an upstream turn cold, and all instances read of it. */
-  ServingUpstream turnCold(int number, long leftMs) {
+  RegisteredUpstream turnCold(int number, long leftMs) {
     long word = words.merge(number, 1L, Long::sum);
-    ServingUpstream cold =
-        new ServingUpstream(
+    RegisteredUpstream cold =
+        new RegisteredUpstream(
             "i-" + number,
             "asistan",
             "10.1.0." + number,
@@ -79,7 +79,7 @@
             16,
             false,
             OptionalLong.of(leftMs),
-            new UpstreamWord(1, word));
+            new RegistrationVersion(1, word));
     instances().forEach(instance -> instance.list.publish(new UpstreamList(List.of(cold))));
     return cold;
   }
@@ -87,12 +87,12 @@
   /** One instance, as far as it sends to upstreams that warm up. */
   static final class Instance {
 
-    private final ReadFleet.Member member;
+    private final SimulatedFleet.Member member;
     private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
     private final WarmingUpstreams warming;
     private final SendPermits permits;
 
-    private Instance(ReadFleet.Member member, Timers timers) {
+    private Instance(SimulatedFleet.Member member, Timers timers) {
       this.member = member;
       this.warming =
           new WarmingUpstreams(list, new Section<>(Set.of()), service -> Optional.of(PLAN), timers);
@@ -100,7 +100,7 @@
           new SendPermits(
               member.self(),
               member,
-              new WarmUpAllowances(warming, service -> Optional.of(PLAN), BOUNDS),
+              new WarmUpRateLimits(warming, service -> Optional.of(PLAN), BOUNDS),
               timers);
     }
 
@@ -112,11 +112,11 @@
       return permits;
     }
 
-    boolean isWarming(ServingUpstream upstream) {
+    boolean isWarming(RegisteredUpstream upstream) {
       return warming.isWarming(upstream);
     }
 
-    boolean isSenderTo(ServingUpstream upstream) {
+    boolean isSenderTo(RegisteredUpstream upstream) {
       return permits.hasPermit(upstream);
     }
 
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
@@ -7,7 +7,7 @@
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.forward.spending.SpendingController;
 import io.mothrill.core.forward.upstream.UpstreamList;
-import io.mothrill.core.forward.view.StateFollower;
+import io.mothrill.core.forward.view.StatePoller;
 import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
 import io.mothrill.daemon.log.JsonLinesWriter;
@@ -27,7 +27,7 @@
   }
 
   void showView(
-      Section<ForwardingPlan> plan, Section<UpstreamList> upstreams, StateFollower follower) {
+      Section<ForwardingPlan> plan, Section<UpstreamList> upstreams, StatePoller follower) {
     metrics.gauge("view.planVersion", () -> () -> plan.read().version());
     metrics.gauge("view.planAgeMs", () -> follower::planAgeMs);
     metrics.gauge("view.upstreamCount", () -> () -> upstreams.read().all().size());
@@ -70,10 +70,10 @@
     metrics.gauge("upstreams.limitedSentCount", () -> choice.limits()::sentCount);
     metrics.gauge("upstreams.saidLeavingCount", () -> choice.leaving()::leavingCount);
     metrics.gauge("upstreams.saidLeavingSentCount", () -> choice.leaving()::sentCount);
-    metrics.gauge("upstreams.restingCount", () -> choice.resting()::restingCount);
+    metrics.gauge("upstreams.restingCount", () -> choice.resting()::backoffCount);
     metrics.gauge("upstreams.restingSentCount", () -> choice.resting()::sentCount);
     metrics.gauge("upstreams.reportsSentCount", () -> choice.news()::sentCount);
-    metrics.gauge("upstreams.reportsHeardCount", () -> choice.news()::heardCount);
+    metrics.gauge("upstreams.reportsHeardCount", () -> choice.news()::receivedCount);
   }
 
   /** Shows how many requests are under suspicion, and what is told of them. */
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -4,16 +4,16 @@
 import io.mothrill.core.board.Section;
 import io.mothrill.core.forward.crash.CrashGuard;
 import io.mothrill.core.forward.crash.CrashMessage;
-import io.mothrill.core.forward.limit.LimitReport;
+import io.mothrill.core.forward.limit.RateLimitReport;
 import io.mothrill.core.forward.permit.FleetView;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.retry.SharedRetryBudget;
 import io.mothrill.core.forward.spending.DemandSharePolicy;
 import io.mothrill.core.forward.spending.SpendingController;
-import io.mothrill.core.forward.upstream.DomainReach;
-import io.mothrill.core.forward.upstream.FateReport;
+import io.mothrill.core.forward.upstream.DomainReachability;
 import io.mothrill.core.forward.upstream.UpstreamList;
-import io.mothrill.core.forward.view.StateFollower;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
+import io.mothrill.core.forward.view.StatePoller;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerMessage;
 import io.mothrill.core.platform.InstanceRecord;
@@ -122,7 +122,7 @@
     dispatcher.on(
         PeerMessage.Heartbeat.class,
         heartbeat -> CompletableFuture.completedFuture(new PeerMessage.Done()));
-    DomainReach reach = new DomainReach(self, spending::peers, peers, timers);
+    DomainReachability reach = new DomainReachability(self, spending::peers, peers, timers);
     UpstreamChoice choice =
         new UpstreamChoice(
             self,
@@ -131,7 +131,7 @@
             fleet(),
             this::sendFate,
             this::sendLimit,
-            reach::isOpen,
+            reach::isReachable,
             timers,
             random);
     CrashGuard crashes =
@@ -142,7 +142,7 @@
             ports.table(),
             ports.storeClock(),
             choice.noting(new UpstreamProbe(group, timers)),
-            upstream -> upstreams.read().isServing(upstream),
+            upstream -> upstreams.read().isAccepting(upstream),
             timers,
             random);
     this.notices =
@@ -158,9 +158,9 @@
                   }
                 },
                 crashes::onMessage,
-                choice.news()::onHeard,
-                choice.limits()::onHeard,
-                reach::onHeard),
+                choice.news()::onReport,
+                choice.limits()::onReport,
+                reach::onMessageFromHost),
             ports.work());
     ForwardParts parts =
         new ForwardParts(
@@ -179,7 +179,7 @@
             crashes,
             choice.news(),
             choice.answers(),
-            reach::onHeardFrom,
+            reach::onMessageFromDomain,
             timers,
             ports.work(),
             random);
@@ -205,9 +205,8 @@
     gauges.showWork(ports.work());
     timers.every(FORGET_MS, () -> choice.loads().retain(upstreams.read()));
     timers.every(WORK_LINE_MS, () -> WorkLine.write(ports.work()));
-    StateFollower follower =
-        new StateFollower(
-            ports.state(), plan, evacuatedDomains, upstreams, timers, settings.view());
+    StatePoller follower =
+        new StatePoller(ports.state(), plan, evacuatedDomains, upstreams, timers, settings.view());
     gauges.showView(plan, upstreams, follower);
   }
 
@@ -225,11 +224,11 @@
     };
   }
 
-  private void sendFate(FateReport report, List<InstanceRecord> to) {
+  private void sendFate(UpstreamStatusReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
-  private void sendLimit(LimitReport report, List<InstanceRecord> to) {
+  private void sendLimit(RateLimitReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
@@ -1,6 +1,6 @@
 package io.mothrill.daemon.forward;
 
-import io.mothrill.core.forward.view.DeclaredState;
+import io.mothrill.core.forward.view.StateSource;
 import io.mothrill.core.platform.StoreClock;
 import io.mothrill.core.platform.TableService;
 import io.mothrill.core.work.WorkAccount;
@@ -21,7 +21,7 @@
 public record ForwardPorts(
     TableService table,
     StoreClock storeClock,
-    DeclaredState state,
+    StateSource state,
     Dialect dialect,
     CallerListener callers,
     WorkAccount work,
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamChoice.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamChoice.java
@@ -1,29 +1,29 @@
 package io.mothrill.daemon.forward;
 
 import io.mothrill.core.board.Section;
-import io.mothrill.core.forward.answer.SelfReports;
+import io.mothrill.core.forward.answer.SelfReportDispatcher;
 import io.mothrill.core.forward.check.SendChecks;
-import io.mothrill.core.forward.crash.UpstreamEnds;
-import io.mothrill.core.forward.limit.LimitReports;
-import io.mothrill.core.forward.limit.NamedLimits;
+import io.mothrill.core.forward.crash.TerminationProbe;
+import io.mothrill.core.forward.limit.AnnouncedRateLimits;
+import io.mothrill.core.forward.limit.RateLimitReportSender;
 import io.mothrill.core.forward.permit.FleetView;
 import io.mothrill.core.forward.permit.SendPermits;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.plan.ServicePlan;
 import io.mothrill.core.forward.plan.WarmUpPlan;
-import io.mothrill.core.forward.upstream.FateReports;
 import io.mothrill.core.forward.upstream.LeavingUpstreams;
 import io.mothrill.core.forward.upstream.PlainCost;
+import io.mothrill.core.forward.upstream.PrefillSpeed;
+import io.mothrill.core.forward.upstream.PrefixCacheEstimator;
 import io.mothrill.core.forward.upstream.PromptCost;
-import io.mothrill.core.forward.upstream.PromptMemory;
-import io.mothrill.core.forward.upstream.ReadingSpeed;
-import io.mothrill.core.forward.upstream.RestingUpstreams;
-import io.mothrill.core.forward.upstream.UpstreamFate;
+import io.mothrill.core.forward.upstream.UpstreamBackoffs;
 import io.mothrill.core.forward.upstream.UpstreamList;
 import io.mothrill.core.forward.upstream.UpstreamLoads;
-import io.mothrill.core.forward.upstream.UpstreamNews;
 import io.mothrill.core.forward.upstream.UpstreamPicker;
-import io.mothrill.core.forward.warmup.WarmUpAllowances;
+import io.mothrill.core.forward.upstream.UpstreamStatus;
+import io.mothrill.core.forward.upstream.UpstreamStatusBroadcast;
+import io.mothrill.core.forward.upstream.UpstreamStatusReportSender;
+import io.mothrill.core.forward.warmup.WarmUpRateLimits;
 import io.mothrill.core.forward.warmup.WarmingUpstreams;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.time.Timers;
@@ -37,14 +37,14 @@
 
   private final Timers timers;
   private final UpstreamLoads loads = new UpstreamLoads();
-  private final ReadingSpeed speed = new ReadingSpeed();
-  private final PromptMemory memory = new PromptMemory();
+  private final PrefillSpeed speed = new PrefillSpeed();
+  private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
   private final WarmingUpstreams warming;
-  private final NamedLimits limits;
+  private final AnnouncedRateLimits limits;
   private final LeavingUpstreams leaving;
-  private final RestingUpstreams resting;
-  private final SelfReports answers;
-  private final UpstreamNews news;
+  private final UpstreamBackoffs resting;
+  private final SelfReportDispatcher answers;
+  private final UpstreamStatusBroadcast news;
   private final SendChecks checks;
   private final UpstreamPicker picker;
 
@@ -70,8 +70,8 @@
       ForwardSettings settings,
       View view,
       FleetView fleet,
-      FateReports reports,
-      LimitReports limitReports,
+      UpstreamStatusReportSender reports,
+      RateLimitReportSender limitReports,
       Predicate<String> reachedDomains,
       Timers timers,
       RandomGenerator random) {
@@ -82,19 +82,19 @@
         new WarmingUpstreams(view.upstreams(), view.evacuatedDomains(), view::warmUpOf, timers);
     SendPermits warmUps =
         new SendPermits(
-            self, fleet, new WarmUpAllowances(warming, view::warmUpOf, settings.warmUp()), timers);
+            self, fleet, new WarmUpRateLimits(warming, view::warmUpOf, settings.warmUp()), timers);
     view.upstreams().subscribe(warmUps::retain);
-    this.limits = new NamedLimits(fleet::others, limitReports, view.upstreams(), timers);
+    this.limits = new AnnouncedRateLimits(fleet::others, limitReports, view.upstreams(), timers);
     SendPermits limitPermits = new SendPermits(self, fleet, limits, timers);
     view.upstreams().subscribe(limitPermits::retain);
     this.leaving = new LeavingUpstreams(timers);
-    this.resting = new RestingUpstreams(timers);
+    this.resting = new UpstreamBackoffs(timers);
     view.upstreams().subscribe(leaving::retain);
     view.upstreams().subscribe(resting::retain);
     this.news =
-        new UpstreamNews(
+        new UpstreamStatusBroadcast(
             self, fleet::others, reports, view.upstreams(), loads, warming, leaving, timers);
-    this.answers = new SelfReports(warming, limits, leaving, news, resting);
+    this.answers = new SelfReportDispatcher(warming, limits, leaving, news, resting);
     this.checks =
         new SendChecks(
             view.upstreams(),
@@ -119,17 +119,17 @@
 
   /** Takes notice of a prompt that another instance has sent to an upstream. */
   void onNotice(String incarnation, long promptTokens) {
-    loads.of(incarnation).onNotice(promptTokens, speed.tokensPerMs(), timers.nowMs());
+    loads.of(incarnation).onPromptNotice(promptTokens, speed.tokensPerMs(), timers.nowMs());
   }
 
   /** Lets all instances know of upstreams that are found to have ended. */
-  UpstreamEnds noting(UpstreamEnds ends) {
+  TerminationProbe noting(TerminationProbe ends) {
     return upstream ->
-        ends.hasEnded(upstream)
+        ends.hasTerminated(upstream)
             .thenApply(
                 ended -> {
                   if (ended) {
-                    news.onFound(upstream, UpstreamFate.ENDED);
+                    news.onDetected(upstream, UpstreamStatus.ENDED);
                   }
                   return ended;
                 });
@@ -139,11 +139,11 @@
     return loads;
   }
 
-  ReadingSpeed speed() {
+  PrefillSpeed speed() {
     return speed;
   }
 
-  PromptMemory memory() {
+  PrefixCacheEstimator memory() {
     return memory;
   }
 
@@ -151,7 +151,7 @@
     return warming;
   }
 
-  NamedLimits limits() {
+  AnnouncedRateLimits limits() {
     return limits;
   }
 
@@ -159,15 +159,15 @@
     return leaving;
   }
 
-  RestingUpstreams resting() {
+  UpstreamBackoffs resting() {
     return resting;
   }
 
-  SelfReports answers() {
+  SelfReportDispatcher answers() {
     return answers;
   }
 
-  UpstreamNews news() {
+  UpstreamStatusBroadcast news() {
     return news;
   }
 
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
@@ -11,7 +11,7 @@
 import io.mothrill.core.fake.FaultyCalls;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.crash.CrashMessage;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.node.Node;
 import io.mothrill.core.node.NodePorts;
 import io.mothrill.core.node.NodeSettings;
@@ -117,7 +117,7 @@
   }
 
   /** An upstream behind a cut shows no end. */
-  private CompletableFuture<Boolean> endOf(Network.Place from, ServingUpstream upstream) {
+  private CompletableFuture<Boolean> endOf(Network.Place from, RegisteredUpstream upstream) {
     Network.Place at = Network.Place.of(upstream.host(), upstream.domain());
     return CompletableFuture.completedFuture(
         network.reaches(from, at) && upstream(upstream.host()).isDown());
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/CallerConnection.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/CallerConnection.java
@@ -141,7 +141,7 @@
         return;
       }
       if (!edge.tryKeep(length)) {
-        refuse(ForwardRefusal.comeBackIn(Cause.OUT_OF_MEMORY, EdgeState.MEMORY_RETRY_MS));
+        refuse(ForwardRefusal.retryAfter(Cause.OUT_OF_MEMORY, EdgeState.MEMORY_RETRY_MS));
         return;
       }
       if (body == Unpooled.EMPTY_BUFFER) {
@@ -156,7 +156,7 @@
 
   private void startExchange() {
     if (edge.isRefusing()) {
-      refuse(ForwardRefusal.comeBackIn(Cause.LEAVING, EdgeState.LEAVING_RETRY_MS));
+      refuse(ForwardRefusal.retryAfter(Cause.LEAVING, EdgeState.LEAVING_RETRY_MS));
       return;
     }
     exchange =
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardAttempt.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardAttempt.java
@@ -1,11 +1,11 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.crash.Suspicion;
+import io.mothrill.core.forward.crash.RequestCrashGuard;
 import io.mothrill.core.forward.request.ForwardRefusal;
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
-import io.mothrill.core.forward.upstream.ServingUpstream;
-import io.mothrill.core.forward.upstream.UpstreamFate;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamLoad;
+import io.mothrill.core.forward.upstream.UpstreamStatus;
 import io.mothrill.core.time.Subscription;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -49,17 +49,17 @@
     void end(String outcome, int status);
 
     /** Says whether the request may be written to an upstream at this moment. */
-    boolean admits(ServingUpstream upstream);
+    boolean admits(RegisteredUpstream upstream);
 
     /** What is known of upstreams that ended under the request. */
-    Suspicion suspicion();
+    RequestCrashGuard suspicion();
   }
 
   private final ForwardWork work;
   private final ForwardParts parts;
   private final ForwardProgress progress;
   private final Owner owner;
-  private final ServingUpstream upstream;
+  private final RegisteredUpstream upstream;
   private final UpstreamLoad load;
   private final long promptTokens;
   private final OfferNote note;
@@ -76,7 +76,7 @@
   private EventRelay relay;
 
   ForwardAttempt(
-      ForwardWork work, ForwardProgress progress, Owner owner, ServingUpstream upstream) {
+      ForwardWork work, ForwardProgress progress, Owner owner, RegisteredUpstream upstream) {
     this.work = work;
     this.parts = work.arrival().parts();
     this.progress = progress;
@@ -90,7 +90,7 @@
     this.promptTokens =
         work.call()
             .prompt()
-            .map(prompt -> parts.memory().unreadTokens(prompt, upstream.incarnation(), nowMs))
+            .map(prompt -> parts.memory().uncachedTokens(prompt, upstream.incarnation(), nowMs))
             .orElse(0L);
   }
 
@@ -115,18 +115,15 @@
     work.arrival()
         .pool()
         .take(
-            upstream,
-            !work.route().kind().isRepeatable(),
-            this::onConnected,
-            this::onConnectFailed);
+            upstream, !work.route().kind().isRetryable(), this::onConnected, this::onConnectFailed);
   }
 
   private void onConnectFailed(Throwable cause) {
     parts
         .news()
-        .onFound(
+        .onDetected(
             upstream,
-            ConnectRefusals.isRefusal(cause) ? UpstreamFate.ENDED : UpstreamFate.UNREACHABLE);
+            ConnectRefusals.isRefusal(cause) ? UpstreamStatus.ENDED : UpstreamStatus.UNREACHABLE);
     if (over || owner.hasEnded()) {
       return;
     }
@@ -156,7 +153,7 @@
     work.call()
         .prompt()
         .ifPresent(prompt -> parts.memory().onSent(prompt, upstream.incarnation(), sentMs));
-    parts.notices().announce(upstream.incarnation(), promptTokens);
+    parts.notices().send(upstream.incarnation(), promptTokens);
     connection.send(
         UpstreamRequest.of(work, upstream.id(), progress.lastEventId), work.call().id(), this);
     replacement =
@@ -169,7 +166,7 @@
   }
 
   private static long silenceMs(ForwardWork work) {
-    return Math.max(SILENT_MIN_MS, SILENT_AIMS * work.route().aimMs());
+    return Math.max(SILENT_MIN_MS, SILENT_AIMS * work.route().targetLatencyMs());
   }
 
   /**
@@ -206,7 +203,7 @@
     replacement.cancel();
     if (sent) {
       notePromptRead();
-      load.onEnded();
+      load.onRequestEnded();
     }
     if (whole != null) {
       whole.release();
@@ -217,7 +214,7 @@
   private void notePromptRead() {
     if (!promptRead) {
       promptRead = true;
-      load.onPromptRead(promptTokens);
+      load.onPrefillDone(promptTokens);
     }
   }
 
@@ -256,9 +253,9 @@
 
   private void onNotRun(int status) {
     if (status == MISDIRECTED) {
-      parts.news().onFound(upstream, UpstreamFate.REPLACED);
+      parts.news().onDetected(upstream, UpstreamStatus.REPLACED);
     } else {
-      load.onFull(parts.timers().nowMs(), FULL_AVOID_MS);
+      load.avoidFor(parts.timers().nowMs(), FULL_AVOID_MS);
     }
     fail("not run, status " + status);
     progress.ranCount--;
@@ -287,7 +284,7 @@
 
   private void pass(EventSplitter.Event event) {
     if (!promptRead) {
-      parts.speed().onRead(promptTokens, silence.heardMs() - sentMs);
+      parts.speed().onPrefill(promptTokens, silence.heardMs() - sentMs);
     }
     notePromptRead();
     relay.pass(event).ifPresent(detail -> onBroken(BreakCause.GARBLED, detail));
@@ -331,7 +328,7 @@
    */
   private void noteGoodRun() {
     if (UpstreamConnection.hasEnd(answer)) {
-      owner.suspicion().onServed();
+      owner.suspicion().onSuccess();
     }
   }
 
@@ -378,9 +375,9 @@
 
   private void suspect(BreakCause cause) {
     switch (cause) {
-      case CLOSED -> owner.suspicion().onClosed(upstream);
-      case REPLACED -> owner.suspicion().onReplaced(upstream);
-      default -> owner.suspicion().onGarbled();
+      case CLOSED -> owner.suspicion().onConnectionLost(upstream);
+      case REPLACED -> owner.suspicion().onUpstreamReplaced(upstream);
+      default -> owner.suspicion().onInvalidAnswer();
     }
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
@@ -1,10 +1,10 @@
 package io.mothrill.wire.forward;
 
 import io.mothrill.core.error.Failures;
-import io.mothrill.core.forward.check.Objection;
+import io.mothrill.core.forward.check.Rejection;
 import io.mothrill.core.forward.check.SendChecks;
 import io.mothrill.core.forward.crash.CrashRecord;
-import io.mothrill.core.forward.crash.Suspicion;
+import io.mothrill.core.forward.crash.RequestCrashGuard;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.plan.Route;
 import io.mothrill.core.forward.plan.TeamPlan;
@@ -13,9 +13,9 @@
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 import io.mothrill.core.forward.spending.SpendingException;
 import io.mothrill.core.forward.spending.SpendingReservation;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamQuery;
-import io.mothrill.core.forward.upstream.UpstreamQuery.Standing;
+import io.mothrill.core.forward.upstream.UpstreamQuery.Eligibility;
 import io.mothrill.core.time.Subscription;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.HttpResponseStatus;
@@ -59,7 +59,7 @@
   private String reason = "";
   private long paidMs;
   private ForwardWork work;
-  private Suspicion suspicion;
+  private RequestCrashGuard suspicion;
   private Subscription timeUp = () -> {};
   private SpendingReservation reservation = SpendingReservation.UNLIMITED;
   private boolean paid;
@@ -98,7 +98,7 @@
       refuse(refusal.get());
       return;
     }
-    suspicion = new Suspicion(parts.crashes(), work::fingerprint, parts.timers());
+    suspicion = new RequestCrashGuard(parts.crashes(), work::fingerprint, parts.timers());
     parts.retries().onRequest(work.service());
     timeUp = parts.timers().after(work.leftMs(), () -> onLoop(this::onTimeUp));
     unlessItCrashesUpstreams(this::pay);
@@ -132,7 +132,7 @@
 
   private Optional<ForwardRefusal> admit() {
     if (!plan.isKnown()) {
-      return Optional.of(ForwardRefusal.comeBackIn(Cause.NO_PLAN, NO_PLAN_RETRY_MS));
+      return Optional.of(ForwardRefusal.retryAfter(Cause.NO_PLAN, NO_PLAN_RETRY_MS));
     }
     Optional<Route> found = plan.findRoute(arrival.call().host(), arrival.call().path());
     if (found.isEmpty()) {
@@ -145,7 +145,7 @@
         new ForwardWork(
             arrival,
             route,
-            route.serviceAt(parts.random().nextDouble()),
+            route.selectService(parts.random().nextDouble()),
             needsKey ? team : Optional.empty(),
             arrival.startMs()
                 + Math.min(route.timeoutMs(), arrival.call().deadlineMs().orElse(Long.MAX_VALUE)));
@@ -180,7 +180,7 @@
     refuse(
         Failures.unwrap(error) instanceof SpendingException spending && spending.isBudgetSpent()
             ? ForwardRefusal.of(Cause.BUDGET_SPENT)
-            : ForwardRefusal.comeBackIn(Cause.TOKENS_ELSEWHERE, retryAfterMs(error)));
+            : ForwardRefusal.retryAfter(Cause.TOKENS_ELSEWHERE, retryAfterMs(error)));
   }
 
   private static long retryAfterMs(Throwable error) {
@@ -199,9 +199,9 @@
 
   private void choose() {
     UpstreamQuery query = query();
-    Optional<ServingUpstream> upstream = parts.picker().pick(query);
+    Optional<RegisteredUpstream> upstream = parts.picker().pick(query);
     if (upstream.isEmpty()) {
-      Objection objection = parts.checks().whyNone(query);
+      Rejection objection = parts.checks().findRejection(query);
       giveUp(objection.cause(), objection.retryAfterMs());
       return;
     }
@@ -213,11 +213,11 @@
   private UpstreamQuery query() {
     return new UpstreamQuery(
         work.service(),
-        work.route().aimMs(),
+        work.route().targetLatencyMs(),
         arrival.call().prompt(),
         work.homes(),
         tried,
-        new Standing(work.endMs(), !needsTokens() || paid, suspicion::isQuarantined));
+        new Eligibility(work.endMs(), !needsTokens() || paid, suspicion::isQuarantined));
   }
 
   private boolean needsTokens() {
@@ -225,7 +225,7 @@
   }
 
   @Override
-  public boolean admits(ServingUpstream upstream) {
+  public boolean admits(RegisteredUpstream upstream) {
     return parts.checks().admit(upstream, query());
   }
 
@@ -236,9 +236,9 @@
       end("broken", 0);
       arrival.reply().breakOff();
     } else if (progress.mayHaveRun) {
-      refuse(ForwardRefusal.of(ifNotRun.ifItMayHaveRun()));
+      refuse(ForwardRefusal.of(ifNotRun.whenPossiblyRun()));
     } else {
-      refuse(ForwardRefusal.comeBackIn(ifNotRun, retryAfterMs));
+      refuse(ForwardRefusal.retryAfter(ifNotRun, retryAfterMs));
     }
   }
 
@@ -253,7 +253,7 @@
     } else if (progress.mayHaveRun) {
       refuse(ForwardRefusal.of(Cause.TIMED_OUT));
     } else {
-      refuse(ForwardRefusal.comeBackIn(Cause.NOT_SENT_IN_TIME, FULL_RETRY_MS));
+      refuse(ForwardRefusal.retryAfter(Cause.NOT_SENT_IN_TIME, FULL_RETRY_MS));
     }
   }
 
@@ -296,7 +296,8 @@
     ForwardBill bill = new ForwardBill(arrival.call().prompt(), progress);
     long owedTokens = work == null ? 0 : bill.owedTokens(plan, work.service());
     reservation.settle(owedTokens);
-    Optional<Fingerprint> fingerprint = suspicion == null ? Optional.empty() : suspicion.taken();
+    Optional<Fingerprint> fingerprint =
+        suspicion == null ? Optional.empty() : suspicion.computedFingerprint();
     arrival.body().release();
     parts
         .log()
@@ -313,7 +314,7 @@
                 paidMs,
                 progress.firstMs,
                 parts.timers().nowMs() - arrival.startMs(),
-                work == null ? 0 : work.route().aimMs(),
+                work == null ? 0 : work.route().targetLatencyMs(),
                 plan.version(),
                 fingerprint));
   }
@@ -328,17 +329,17 @@
     Route route = work.route();
     return tried.size() < Math.max(MAX_OFFERS, route.maxAttempts())
         && progress.ranCount < route.maxAttempts()
-        && work.leftMs() > SendChecks.MIN_LEFT_MS
-        && parts.retries().tryTake(work.service());
+        && work.leftMs() > SendChecks.MIN_REMAINING_MS
+        && parts.retries().tryAcquire(work.service());
   }
 
   @Override
   public boolean mayRunAgain() {
-    return work.route().kind().isRepeatable() && mayOfferAgain();
+    return work.route().kind().isRetryable() && mayOfferAgain();
   }
 
   @Override
-  public Suspicion suspicion() {
+  public RequestCrashGuard suspicion() {
     return suspicion;
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardParts.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardParts.java
@@ -1,18 +1,18 @@
 package io.mothrill.wire.forward;
 
 import io.mothrill.core.board.Section;
-import io.mothrill.core.forward.answer.SelfReports;
+import io.mothrill.core.forward.answer.SelfReportDispatcher;
 import io.mothrill.core.forward.check.SendChecks;
 import io.mothrill.core.forward.crash.CrashGuard;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.retry.SharedRetryBudget;
 import io.mothrill.core.forward.spending.SpendingController;
-import io.mothrill.core.forward.upstream.PromptMemory;
-import io.mothrill.core.forward.upstream.PromptNotices;
-import io.mothrill.core.forward.upstream.ReadingSpeed;
+import io.mothrill.core.forward.upstream.PrefillSpeed;
+import io.mothrill.core.forward.upstream.PrefixCacheEstimator;
+import io.mothrill.core.forward.upstream.PromptNoticeSender;
 import io.mothrill.core.forward.upstream.UpstreamLoads;
-import io.mothrill.core.forward.upstream.UpstreamNews;
 import io.mothrill.core.forward.upstream.UpstreamPicker;
+import io.mothrill.core.forward.upstream.UpstreamStatusBroadcast;
 import io.mothrill.core.time.Timers;
 import io.mothrill.core.work.WorkAccount;
 import java.util.concurrent.CompletableFuture;
@@ -49,15 +49,15 @@
     SendChecks checks,
     UpstreamPicker picker,
     UpstreamLoads loads,
-    PromptMemory memory,
-    ReadingSpeed speed,
-    PromptNotices notices,
+    PrefixCacheEstimator memory,
+    PrefillSpeed speed,
+    PromptNoticeSender notices,
     SpendingController spending,
     SharedRetryBudget retries,
     ForwardLog log,
     CrashGuard crashes,
-    UpstreamNews news,
-    SelfReports answers,
+    UpstreamStatusBroadcast news,
+    SelfReportDispatcher answers,
     Consumer<String> heardDomains,
     Timers timers,
     WorkAccount work,
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardWork.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardWork.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.plan.HomeRegions;
+import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.forward.plan.Route;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.forward.request.Fingerprint;
@@ -24,8 +24,10 @@
   }
 
   /** Gives the regions that both its route and its team allow. */
-  HomeRegions homes() {
-    return team.map(TeamPlan::homes).orElse(HomeRegions.anywhere()).and(route.homes());
+  AllowedRegions homes() {
+    return team.map(TeamPlan::allowedRegions)
+        .orElse(AllowedRegions.unrestricted())
+        .intersect(route.allowedRegions());
   }
 
   /** Names the request by what upstreams see of it; reads the whole body. */
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/OfferNote.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/OfferNote.java
@@ -1,25 +1,25 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamLoad;
 
 /** What was known of an upstream when it was chosen, for the line that tells what came of it. */
 final class OfferNote {
 
-  private final ServingUpstream upstream;
+  private final RegisteredUpstream upstream;
   private final long chosenMs;
   private final int underWay;
   private final long unreadTokens;
   private final long estimated;
   private boolean told;
 
-  OfferNote(ForwardWork work, ServingUpstream upstream, UpstreamLoad load) {
+  OfferNote(ForwardWork work, RegisteredUpstream upstream, UpstreamLoad load) {
     ForwardParts parts = work.arrival().parts();
     long nowMs = parts.timers().nowMs();
     this.upstream = upstream;
     this.chosenMs = nowMs - work.arrival().startMs();
-    this.underWay = load.underWayCount();
-    this.unreadTokens = Math.round(load.unreadPromptTokens(parts.speed().tokensPerMs(), nowMs));
+    this.underWay = load.inFlightCount();
+    this.unreadTokens = Math.round(load.pendingPrefillTokens(parts.speed().tokensPerMs(), nowMs));
     this.estimated = Math.round(load.estimatedCount(nowMs));
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.time.Timers;
 import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
@@ -61,7 +61,7 @@
    * @param onFailed gets the reason when there is none; nothing has reached the upstream then
    */
   void take(
-      ServingUpstream upstream,
+      RegisteredUpstream upstream,
       boolean onlyOnce,
       Consumer<UpstreamConnection> onConnected,
       Consumer<Throwable> onFailed) {
@@ -80,7 +80,7 @@
   }
 
   private void connect(
-      ServingUpstream upstream,
+      RegisteredUpstream upstream,
       Consumer<UpstreamConnection> onConnected,
       Consumer<Throwable> onFailed) {
     UpstreamConnection connection = new UpstreamConnection(dialect, this, upstream.incarnation());
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
@@ -1,7 +1,7 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.crash.UpstreamEnds;
-import io.mothrill.core.forward.upstream.ServingUpstream;
+import io.mothrill.core.forward.crash.TerminationProbe;
+import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.time.Timers;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -21,7 +21,7 @@
  * neither: it is asked again for some seconds, as a cut may hide an end, and then nothing is said
  * against the request.
  */
-public final class UpstreamProbe implements UpstreamEnds {
+public final class UpstreamProbe implements TerminationProbe {
 
   /**
    * A process that ends closes its connections and its port within milliseconds of each other. One
@@ -59,7 +59,7 @@
 
   /** Looks once for all requests that an upstream breaks off at the same time. */
   @Override
-  public CompletableFuture<Boolean> hasEnded(ServingUpstream upstream) {
+  public CompletableFuture<Boolean> hasTerminated(RegisteredUpstream upstream) {
     CompletableFuture<Boolean> first = new CompletableFuture<>();
     CompletableFuture<Boolean> running = open.putIfAbsent(upstream.incarnation(), first);
     if (running != null) {
@@ -70,7 +70,7 @@
     return first;
   }
 
-  private void look(ServingUpstream upstream, CompletableFuture<Boolean> ended, int number) {
+  private void look(RegisteredUpstream upstream, CompletableFuture<Boolean> ended, int number) {
     new Bootstrap()
         .group(group)
         .channel(NioSocketChannel.class)
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamRequest.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamRequest.java
@@ -23,7 +23,7 @@
             work.team().map(TeamPlan::name),
             OptionalLong.of(work.leftMs()),
             urgency(work),
-            lastEventId.isPresent() ? lastEventId : work.call().continuesAfter());
+            lastEventId.isPresent() ? lastEventId : work.call().lastEventId());
     HttpHeaders fromCaller = work.arrival().head().headers();
     HttpHeaders headers = work.arrival().parts().dialect().toUpstream(fromCaller, send);
     if (work.arrival().body().isReadable() || fromCaller.contains(HttpHeaderNames.CONTENT_LENGTH)) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
@@ -24,7 +24,7 @@
   private CrashNoticeCodec() {}
 
   static CrashNotice write(CrashMessage message) {
-    CrashNotice.Builder notice = CrashNotice.newBuilder().setAsks(message.asks());
+    CrashNotice.Builder notice = CrashNotice.newBuilder().setAsks(message.requestsReply());
     message.entries().stream().map(CrashNoticeCodec::write).forEach(notice::addRequests);
     return notice.build();
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
@@ -2,12 +2,12 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.mothrill.core.forward.crash.CrashMessage;
-import io.mothrill.core.forward.crash.CrashReports;
-import io.mothrill.core.forward.limit.LimitReport;
-import io.mothrill.core.forward.limit.LimitReports;
-import io.mothrill.core.forward.upstream.FateReport;
-import io.mothrill.core.forward.upstream.FateReports;
-import io.mothrill.core.forward.upstream.PromptNotices;
+import io.mothrill.core.forward.crash.CrashMessageSender;
+import io.mothrill.core.forward.limit.RateLimitReport;
+import io.mothrill.core.forward.limit.RateLimitReportSender;
+import io.mothrill.core.forward.upstream.PromptNoticeSender;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
+import io.mothrill.core.forward.upstream.UpstreamStatusReportSender;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
@@ -32,7 +32,10 @@
 
 /** Notices between instances, each in a datagram of its own; nothing is repeated or confirmed. */
 public final class DatagramNotices
-    implements PromptNotices, CrashReports, FateReports, LimitReports {
+    implements PromptNoticeSender,
+        CrashMessageSender,
+        UpstreamStatusReportSender,
+        RateLimitReportSender {
 
   /** Shorter prompts are read before the notice could change a choice. */
   private static final long MIN_TOKENS = 1_500;
@@ -99,7 +102,7 @@
   }
 
   @Override
-  public void announce(String incarnation, long unreadTokens) {
+  public void send(String incarnation, long unreadTokens) {
     List<InstanceRecord> told = told(others.get(), host);
     if (unreadTokens < Math.max(MIN_TOKENS, TOKENS_PER_TOLD * told.size())) {
       return;
@@ -115,12 +118,12 @@
   }
 
   @Override
-  public void send(FateReport report, List<InstanceRecord> to) {
+  public void send(UpstreamStatusReport report, List<InstanceRecord> to) {
     send(Notice.newBuilder().setUpstream(FateNoticeCodec.write(report)).build(), to);
   }
 
   @Override
-  public void send(LimitReport report, List<InstanceRecord> to) {
+  public void send(RateLimitReport report, List<InstanceRecord> to) {
     send(Notice.newBuilder().setLimit(LimitNoticeCodec.write(report)).build(), to);
   }
 
@@ -180,7 +183,7 @@
 
     private void take(PromptNotice prompt) {
       if (prompt.getUnreadTokens() >= 0 && prompt.getUnreadTokens() <= MAX_TOKENS) {
-        listeners.prompts().announce(prompt.getUpstreamId(), prompt.getUnreadTokens());
+        listeners.prompts().send(prompt.getUpstreamId(), prompt.getUnreadTokens());
       }
     }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/FateNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/FateNoticeCodec.java
@@ -1,7 +1,7 @@
 package io.mothrill.wire.peer;
 
-import io.mothrill.core.forward.upstream.FateReport;
-import io.mothrill.core.forward.upstream.UpstreamFate;
+import io.mothrill.core.forward.upstream.UpstreamStatus;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.wire.peer.generated.UpstreamNotice;
 import io.mothrill.wire.peer.generated.UpstreamNotice.Fate;
 import java.util.Optional;
@@ -17,13 +17,13 @@
 
   private FateNoticeCodec() {}
 
-  static UpstreamNotice write(FateReport report) {
+  static UpstreamNotice write(UpstreamStatusReport report) {
     return UpstreamNotice.newBuilder()
         .setIncarnation(report.incarnation())
         .setHost(report.host())
         .setPort(report.port())
         .setFate(
-            switch (report.fate()) {
+            switch (report.status()) {
               case LEAVING -> Fate.FATE_LEAVING;
               case REPLACED -> Fate.FATE_REPLACED;
               case ENDED -> Fate.FATE_ENDED;
@@ -33,7 +33,7 @@
   }
 
   /** Reads a report; empty when no instance of this release can have written it. */
-  static Optional<FateReport> read(UpstreamNotice notice) {
+  static Optional<UpstreamStatusReport> read(UpstreamNotice notice) {
     boolean possible =
         notice.getIncarnation().length() <= MAX_NAME_CHARS
             && notice.getHost().length() <= MAX_HOST_CHARS
@@ -43,17 +43,17 @@
         ? fateOf(notice.getFate())
             .map(
                 fate ->
-                    new FateReport(
+                    new UpstreamStatusReport(
                         notice.getIncarnation(), notice.getHost(), notice.getPort(), fate))
         : Optional.empty();
   }
 
-  private static Optional<UpstreamFate> fateOf(Fate fate) {
+  private static Optional<UpstreamStatus> fateOf(Fate fate) {
     return switch (fate) {
-      case FATE_LEAVING -> Optional.of(UpstreamFate.LEAVING);
-      case FATE_REPLACED -> Optional.of(UpstreamFate.REPLACED);
-      case FATE_ENDED -> Optional.of(UpstreamFate.ENDED);
-      case FATE_UNREACHABLE -> Optional.of(UpstreamFate.UNREACHABLE);
+      case FATE_LEAVING -> Optional.of(UpstreamStatus.LEAVING);
+      case FATE_REPLACED -> Optional.of(UpstreamStatus.REPLACED);
+      case FATE_ENDED -> Optional.of(UpstreamStatus.ENDED);
+      case FATE_UNREACHABLE -> Optional.of(UpstreamStatus.UNREACHABLE);
       default -> Optional.empty();
     };
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.peer;
 
-import io.mothrill.core.forward.limit.LimitReport;
+import io.mothrill.core.forward.limit.RateLimitReport;
 import io.mothrill.wire.peer.generated.LimitNotice;
 import java.util.Optional;
 import java.util.OptionalDouble;
@@ -10,20 +10,20 @@
 
   private LimitNoticeCodec() {}
 
-  static LimitNotice write(LimitReport report) {
+  static LimitNotice write(RateLimitReport report) {
     LimitNotice.Builder notice = LimitNotice.newBuilder().setIncarnation(report.incarnation());
     report.limitPerS().ifPresent(notice::setLimitPerS);
     return notice.build();
   }
 
   /** Reads a report; empty when no instance of this release can have written it. */
-  static Optional<LimitReport> read(LimitNotice notice) {
+  static Optional<RateLimitReport> read(LimitNotice notice) {
     boolean possible =
         notice.getIncarnation().length() <= FateNoticeCodec.MAX_NAME_CHARS
             && notice.getLimitPerS() >= 0
             && Double.isFinite(notice.getLimitPerS());
     return possible
-        ? Optional.of(new LimitReport(notice.getIncarnation(), limitOf(notice)))
+        ? Optional.of(new RateLimitReport(notice.getIncarnation(), limitOf(notice)))
         : Optional.empty();
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
@@ -1,9 +1,9 @@
 package io.mothrill.wire.peer;
 
 import io.mothrill.core.forward.crash.CrashMessage;
-import io.mothrill.core.forward.limit.LimitReport;
-import io.mothrill.core.forward.upstream.FateReport;
-import io.mothrill.core.forward.upstream.PromptNotices;
+import io.mothrill.core.forward.limit.RateLimitReport;
+import io.mothrill.core.forward.upstream.PromptNoticeSender;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.core.platform.InstanceRecord;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -18,10 +18,10 @@
  * @param hosts gets the IP address of each instance that sent one
  */
 public record NoticeListeners(
-    PromptNotices prompts,
+    PromptNoticeSender prompts,
     BiConsumer<CrashMessage, InstanceRecord> crashes,
-    Consumer<FateReport> fates,
-    Consumer<LimitReport> limits,
+    Consumer<UpstreamStatusReport> fates,
+    Consumer<RateLimitReport> limits,
     Consumer<String> hosts) {
 
   /**
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
@@ -2,9 +2,9 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.forward.limit.LimitReport;
-import io.mothrill.core.forward.upstream.FateReport;
-import io.mothrill.core.forward.upstream.UpstreamFate;
+import io.mothrill.core.forward.limit.RateLimitReport;
+import io.mothrill.core.forward.upstream.UpstreamStatus;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.work.WorkAccount;
 import io.netty.channel.EventLoopGroup;
@@ -32,8 +32,8 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final BlockingQueue<Long> heard = new LinkedBlockingQueue<>();
-  private final BlockingQueue<FateReport> heardFates = new LinkedBlockingQueue<>();
-  private final BlockingQueue<LimitReport> heardLimits = new LinkedBlockingQueue<>();
+  private final BlockingQueue<UpstreamStatusReport> heardFates = new LinkedBlockingQueue<>();
+  private final BlockingQueue<RateLimitReport> heardLimits = new LinkedBlockingQueue<>();
 
   @AfterEach
   void stop() {
@@ -78,7 +78,7 @@
     final DatagramNotices listening = listener(port);
     DatagramNotices speaking = speaker(port, peerCount);
     for (long tokens : announcedTokens) {
-      speaking.announce("i-1", tokens);
+      speaking.send("i-1", tokens);
     }
     Long first = heard.poll(WAIT_S, TimeUnit.SECONDS);
     speaking.close();
@@ -122,13 +122,14 @@
   @Test
   void carriesWhatWasFoundOutAboutAnUpstream() throws Exception {
     int port = freePort();
-    FateReport report = new FateReport("i-1@0", "10.0.0.1", 80, UpstreamFate.REPLACED);
+    UpstreamStatusReport report =
+        new UpstreamStatusReport("i-1@0", "10.0.0.1", 80, UpstreamStatus.REPLACED);
     InstanceRecord peer = new InstanceRecord("konya-1", "konya-1", "konya", HOST, port, false);
     DatagramNotices listener = listener(port);
     DatagramNotices speaker = speaker(port, 1);
 
     speaker.send(report, List.of(peer));
-    FateReport heard = heardFates.poll(WAIT_S, TimeUnit.SECONDS);
+    UpstreamStatusReport heard = heardFates.poll(WAIT_S, TimeUnit.SECONDS);
     listener.close();
     speaker.close();
 
@@ -138,16 +139,16 @@
   @Test
   void carriesLimitsAndTheirEnds() throws Exception {
     int port = freePort();
-    LimitReport begun = new LimitReport("i-1@0", OptionalDouble.of(0));
-    LimitReport ended = new LimitReport("i-1@0", OptionalDouble.empty());
+    RateLimitReport begun = new RateLimitReport("i-1@0", OptionalDouble.of(0));
+    RateLimitReport ended = new RateLimitReport("i-1@0", OptionalDouble.empty());
     InstanceRecord peer = new InstanceRecord("konya-1", "konya-1", "konya", HOST, port, false);
     DatagramNotices listener = listener(port);
     DatagramNotices speaker = speaker(port, 1);
 
     speaker.send(begun, List.of(peer));
-    final LimitReport first = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
+    final RateLimitReport first = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
     speaker.send(ended, List.of(peer));
-    final LimitReport second = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
+    final RateLimitReport second = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
     listener.close();
     speaker.close();
 
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/ForeignNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/ForeignNoticesTest.java
@@ -3,9 +3,9 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import io.mothrill.core.forward.crash.CrashMessage;
-import io.mothrill.core.forward.limit.LimitReport;
-import io.mothrill.core.forward.upstream.FateReport;
-import io.mothrill.core.forward.upstream.UpstreamFate;
+import io.mothrill.core.forward.limit.RateLimitReport;
+import io.mothrill.core.forward.upstream.UpstreamStatus;
+import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.wire.peer.generated.CrashNotice;
 import io.mothrill.wire.peer.generated.CrashReport;
 import io.mothrill.wire.peer.generated.CrashedRequest;
@@ -32,8 +32,8 @@
 
   private final List<Long> heardTokens = new ArrayList<>();
   private final List<CrashMessage> heardCrashes = new ArrayList<>();
-  private final List<FateReport> heardFates = new ArrayList<>();
-  private final List<LimitReport> heardLimits = new ArrayList<>();
+  private final List<UpstreamStatusReport> heardFates = new ArrayList<>();
+  private final List<RateLimitReport> heardLimits = new ArrayList<>();
   private final EmbeddedChannel channel =
       new EmbeddedChannel(
           new DatagramNotices.NoticeHandler(
@@ -129,7 +129,7 @@
     receive(sound.toBuilder());
 
     assertThat(heardFates)
-        .containsExactly(new FateReport("i-1@0", "10.0.0.1", 80, UpstreamFate.ENDED));
+        .containsExactly(new UpstreamStatusReport("i-1@0", "10.0.0.1", 80, UpstreamStatus.ENDED));
   }
 
   // A limit that is no rate would stop or free all requests to an upstream.
