--- a/mothrill-core/src/main/java/io/mothrill/core/routing/ServiceQueue.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/ServiceQueue.java
@@ -23,65 +23,65 @@
 
   private static final long SECOND_MS = 1_000;
   private static final long TICK_MS = 5_000;
-  private static final long UNKNOWN_RETRY_MS = 1_000;
+  private static final long DEFAULT_RETRY_MS = 1_000;
 
   private final String service;
-  private final UpstreamTable upstreams;
-  private final Chooser chooser;
-  private final WindowPolicy window;
+  private final UpstreamRegistry upstreams;
+  private final UpstreamSelector selector;
+  private final AdmissionPolicy admission;
   private final Timers timers;
-  private final DecisionLog decisions;
+  private final DecisionListener decisions;
   private final QueueSettings settings;
-  private final TeamQueue<Waiting> urgent = new TeamQueue<>();
-  private final TeamQueue<Waiting> batch = new TeamQueue<>();
-  private final EWMA served = EWMA.oneMinuteEWMA();
+  private final TeamQueue<WaitingCall> urgent = new TeamQueue<>();
+  private final TeamQueue<WaitingCall> batch = new TeamQueue<>();
+  private final EWMA completionRate = EWMA.oneMinuteEWMA();
 
   ServiceQueue(
       String service,
-      UpstreamTable upstreams,
-      Chooser chooser,
-      WindowPolicy window,
+      UpstreamRegistry upstreams,
+      UpstreamSelector selector,
+      AdmissionPolicy admission,
       Timers timers,
-      DecisionLog decisions,
+      DecisionListener decisions,
       QueueSettings settings) {
     this.service = service;
     this.upstreams = upstreams;
-    this.chooser = chooser;
-    this.window = window;
+    this.selector = selector;
+    this.admission = admission;
     this.timers = timers;
     this.decisions = decisions;
     this.settings = settings;
-    timers.every(TICK_MS, served::tick);
+    timers.every(TICK_MS, completionRate::tick);
     timers.every(SECOND_MS, this::dispatch);
   }
 
-  private static final class Waiting {
-    private final Ticket ticket;
-    private final long sinceMs;
+  private static final class WaitingCall {
+    private final RoutingRequest request;
+    private final long enqueuedMs;
     private final CompletableFuture<Assignment> assigned = new CompletableFuture<>();
     private Subscription expiry = () -> {};
 
-    Waiting(Ticket ticket, long sinceMs) {
-      this.ticket = ticket;
-      this.sinceMs = sinceMs;
+    WaitingCall(RoutingRequest request, long sinceMs) {
+      this.request = request;
+      this.enqueuedMs = sinceMs;
     }
   }
 
-  private record Dispatched(Waiting waiting, Assignment assignment) {}
+  private record Dispatched(WaitingCall waiting, Assignment assignment) {}
 
   /**
    * Asks for a slot.
    *
-   * @param ticket the call
+   * @param request the call
    * @return the slot; fails with {@link NoCapacityException} when there will be none in time
    */
-  public CompletableFuture<Assignment> submit(Ticket ticket) {
-    Waiting waiting = new Waiting(ticket, timers.nowMs());
+  public CompletableFuture<Assignment> submit(RoutingRequest request) {
+    WaitingCall waiting = new WaitingCall(request, timers.nowMs());
     Optional<NoCapacityException> refusal;
     synchronized (this) {
-      refusal = refusalOf(ticket);
+      refusal = refusalOf(request);
       if (refusal.isEmpty()) {
-        queueOf(ticket).add(ticket.team(), waiting);
+        queueOf(request).add(request.team(), waiting);
       }
     }
     if (refusal.isPresent()) {
@@ -89,35 +89,35 @@
     }
     dispatch();
     if (!waiting.assigned.isDone()) {
-      long waitMs = Math.min(maxWaitMs(ticket), ticket.deadlineMs() - timers.nowMs());
+      long waitMs = Math.min(maxWaitMs(request), request.deadlineMs() - timers.nowMs());
       waiting.expiry = timers.after(waitMs, () -> expire(waiting));
     }
     return waiting.assigned;
   }
 
-  private TeamQueue<Waiting> queueOf(Ticket ticket) {
-    return ticket.priority() == Priority.URGENT ? urgent : batch;
+  private TeamQueue<WaitingCall> queueOf(RoutingRequest request) {
+    return request.priority() == Priority.URGENT ? urgent : batch;
   }
 
-  private long maxWaitMs(Ticket ticket) {
-    return ticket.priority() == Priority.URGENT ? settings.urgentWaitMs() : settings.batchWaitMs();
+  private long maxWaitMs(RoutingRequest request) {
+    return request.priority() == Priority.URGENT ? settings.urgentWaitMs() : settings.batchWaitMs();
   }
 
   /** Refuses at once what would wait in vain, so that the caller can try elsewhere. */
-  private Optional<NoCapacityException> refusalOf(Ticket ticket) {
-    if (staying(ticket).isEmpty()) {
-      return Optional.of(NoCapacityException.noUpstream(service, earliestReturnMs()));
+  private Optional<NoCapacityException> refusalOf(RoutingRequest request) {
+    if (candidates(request).isEmpty()) {
+      return Optional.of(NoCapacityException.noUpstream(service, earliestBackoffEndMs()));
     }
-    long waitMs = estimatedWaitMs(ticket);
-    return waitMs > maxWaitMs(ticket)
+    long waitMs = estimatedWaitMs(request);
+    return waitMs > maxWaitMs(request)
         ? Optional.of(NoCapacityException.overloaded(service, waitMs))
         : Optional.empty();
   }
 
   /** Estimates the wait from the calls ahead and the rate at which calls were served of late. */
-  private long estimatedWaitMs(Ticket ticket) {
-    int ahead = urgent.size() + (ticket.priority() == Priority.BATCH ? batch.size() : 0);
-    double perSecond = served.getRate(TimeUnit.SECONDS);
+  private long estimatedWaitMs(RoutingRequest request) {
+    int ahead = urgent.size() + (request.priority() == Priority.BATCH ? batch.size() : 0);
+    double perSecond = completionRate.getRate(TimeUnit.SECONDS);
     if (ahead == 0 || perSecond <= 0) {
       return 0;
     }
@@ -125,35 +125,35 @@
   }
 
   /** When every upstream has failed the call once, all of them are tried again. */
-  private List<UpstreamState> staying(Ticket ticket) {
+  private List<UpstreamState> candidates(RoutingRequest request) {
     long nowMs = timers.nowMs();
     List<UpstreamState> all =
-        present().filter(upstream -> upstream.restLeftMs(nowMs) == 0).toList();
+        availableUpstreams().filter(upstream -> upstream.backoffLeftMs(nowMs) == 0).toList();
     List<UpstreamState> untried =
-        all.stream().filter(upstream -> !ticket.excluded().contains(upstream.name())).toList();
+        all.stream().filter(upstream -> !request.excluded().contains(upstream.name())).toList();
     return untried.isEmpty() ? all : untried;
   }
 
-  private Stream<UpstreamState> present() {
+  private Stream<UpstreamState> availableUpstreams() {
     return upstreams.of(service).stream()
         .filter(upstream -> !upstream.isLeaving() && !upstream.isEvacuated());
   }
 
   /** The earliest end of a rest, where upstreams are there that rest. */
-  private long earliestReturnMs() {
+  private long earliestBackoffEndMs() {
     long nowMs = timers.nowMs();
-    return present()
-        .mapToLong(upstream -> upstream.restLeftMs(nowMs))
+    return availableUpstreams()
+        .mapToLong(upstream -> upstream.backoffLeftMs(nowMs))
         .min()
-        .orElse(UNKNOWN_RETRY_MS);
+        .orElse(DEFAULT_RETRY_MS);
   }
 
-  private void expire(Waiting waiting) {
+  private void expire(WaitingCall waiting) {
     boolean removed;
     long retryAfterMs;
     synchronized (this) {
-      removed = queueOf(waiting.ticket).remove(waiting.ticket.team(), waiting);
-      retryAfterMs = Math.max(UNKNOWN_RETRY_MS, estimatedWaitMs(waiting.ticket));
+      removed = queueOf(waiting.request).remove(waiting.request.team(), waiting);
+      retryAfterMs = Math.max(DEFAULT_RETRY_MS, estimatedWaitMs(waiting.request));
     }
     if (removed) {
       waiting.assigned.completeExceptionally(NoCapacityException.overloaded(service, retryAfterMs));
@@ -164,69 +164,71 @@
   public void dispatch() {
     List<Dispatched> dispatched = new ArrayList<>();
     synchronized (this) {
-      for (Optional<Dispatched> next = takeNext(); next.isPresent(); next = takeNext()) {
+      for (Optional<Dispatched> next = pollNext(); next.isPresent(); next = pollNext()) {
         dispatched.add(next.get());
       }
     }
-    dispatched.forEach(this::hand);
+    dispatched.forEach(this::deliver);
   }
 
-  private void hand(Dispatched dispatched) {
+  private void deliver(Dispatched dispatched) {
     dispatched.waiting().expiry.cancel();
     if (!dispatched.waiting().assigned.complete(dispatched.assignment())) {
       dispatched.assignment().release();
     }
   }
 
-  private Optional<Dispatched> takeNext() {
+  private Optional<Dispatched> pollNext() {
     long nowMs = timers.nowMs();
-    return assignFirst(batch, waiting -> isAged(waiting, nowMs), WindowClass.AGED_BATCH)
-        .or(() -> assignFirst(urgent, waiting -> true, WindowClass.URGENT))
-        .or(() -> assignFirst(batch, waiting -> true, WindowClass.BATCH));
+    return assignFirst(batch, waiting -> isAged(waiting, nowMs), AdmissionClass.AGED_BATCH)
+        .or(() -> assignFirst(urgent, waiting -> true, AdmissionClass.URGENT))
+        .or(() -> assignFirst(batch, waiting -> true, AdmissionClass.BATCH));
   }
 
-  private boolean isAged(Waiting waiting, long nowMs) {
-    return nowMs - waiting.sinceMs >= settings.batchAgingMs();
+  private boolean isAged(WaitingCall waiting, long nowMs) {
+    return nowMs - waiting.enqueuedMs >= settings.batchAgingMs();
   }
 
   private Optional<Dispatched> assignFirst(
-      TeamQueue<Waiting> queue, Predicate<Waiting> condition, WindowClass windowClass) {
+      TeamQueue<WaitingCall> queue,
+      Predicate<WaitingCall> condition,
+      AdmissionClass admissionClass) {
     Dispatched[] found = new Dispatched[1];
     var unused =
         queue.pollFirst(
             waiting -> {
               if (condition.test(waiting)) {
-                found[0] = assign(waiting, windowClass).orElse(null);
+                found[0] = assign(waiting, admissionClass).orElse(null);
               }
               return found[0] != null;
             });
     return Optional.ofNullable(found[0]);
   }
 
-  private Optional<Dispatched> assign(Waiting waiting, WindowClass windowClass) {
+  private Optional<Dispatched> assign(WaitingCall waiting, AdmissionClass admissionClass) {
     long nowMs = timers.nowMs();
     List<UpstreamState> eligible =
-        staying(waiting.ticket).stream()
-            .filter(upstream -> window.admits(upstream, windowClass, nowMs))
+        candidates(waiting.request).stream()
+            .filter(upstream -> admission.admits(upstream, admissionClass, nowMs))
             .toList();
-    return chooser
-        .choose(eligible, waiting.ticket, nowMs)
+    return selector
+        .select(eligible, waiting.request, nowMs)
         .map(
             choice -> {
-              decisions.routed(
+              decisions.onRouted(
                   new RoutingDecision(
-                      waiting.ticket,
+                      waiting.request,
                       choice.upstream().name(),
                       choice.candidates(),
-                      nowMs - waiting.sinceMs));
-              Priority priority = waiting.ticket.priority();
+                      nowMs - waiting.enqueuedMs));
+              Priority priority = waiting.request.priority();
               return new Dispatched(
                   waiting, new Assignment(choice.upstream(), priority, this::onReleased));
             });
   }
 
   private void onReleased() {
-    served.update(1);
+    completionRate.update(1);
     dispatch();
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/SplitWindow.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/SplitAdmissionPolicy.java
@@ -10,7 +10,7 @@
  * long may take one such slot per upstream, so that it completes, and no more than one, so that
  * many old long calls cannot push out the urgent ones.
  */
-public final class SplitWindow implements WindowPolicy {
+public final class SplitAdmissionPolicy implements AdmissionPolicy {
 
   private final double urgentOnlyShare;
   private final double batchOnlyShare;
@@ -23,25 +23,25 @@
    * @param batchOnlyShare the share of slots that urgent calls may not take
    * @param fadeMs the age at which a load report counts for nothing
    */
-  public SplitWindow(double urgentOnlyShare, double batchOnlyShare, long fadeMs) {
+  public SplitAdmissionPolicy(double urgentOnlyShare, double batchOnlyShare, long fadeMs) {
     this.urgentOnlyShare = urgentOnlyShare;
     this.batchOnlyShare = batchOnlyShare;
     this.fadeMs = fadeMs;
   }
 
   @Override
-  public boolean admits(UpstreamState upstream, WindowClass windowClass, long nowMs) {
+  public boolean admits(UpstreamState upstream, AdmissionClass admissionClass, long nowMs) {
     if (upstream.inFlight() >= upstream.spec().slots()) {
       return false;
     }
-    return windowClass == WindowClass.URGENT
-        ? upstream.inFlight(Priority.URGENT) < openSlots(upstream, batchOnlyShare)
-        : batchLoad(upstream, nowMs) < batchLimit(upstream, windowClass);
+    return admissionClass == AdmissionClass.URGENT
+        ? upstream.inFlight(Priority.URGENT) < usableSlots(upstream, batchOnlyShare)
+        : batchLoad(upstream, nowMs) < batchLimit(upstream, admissionClass);
   }
 
-  private int batchLimit(UpstreamState upstream, WindowClass windowClass) {
-    int extra = windowClass == WindowClass.AGED_BATCH ? 1 : 0;
-    return openSlots(upstream, urgentOnlyShare) + extra;
+  private int batchLimit(UpstreamState upstream, AdmissionClass admissionClass) {
+    int extra = admissionClass == AdmissionClass.AGED_BATCH ? 1 : 0;
+    return usableSlots(upstream, urgentOnlyShare) + extra;
   }
 
   private double batchLoad(UpstreamState upstream, long nowMs) {
@@ -49,8 +49,8 @@
   }
 
   /** Even an upstream with one slot serves both classes. */
-  private static int openSlots(UpstreamState upstream, double closedShare) {
+  private static int usableSlots(UpstreamState upstream, double reservedShare) {
     int slots = upstream.spec().slots();
-    return Math.max(1, slots - (int) Math.ceil(slots * closedShare));
+    return Math.max(1, slots - (int) Math.ceil(slots * reservedShare));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 
 /** The upstreams of every service, following the configuration; counts survive its changes. */
-public final class UpstreamTable {
+public final class UpstreamRegistry {
 
   private final Map<String, UpstreamState> states = new ConcurrentHashMap<>();
   private final AtomicReference<Map<String, List<UpstreamState>>> byService =
@@ -25,12 +25,12 @@
    *
    * @param config the configuration to follow
    */
-  public UpstreamTable(Section<ConfigSnapshot> config) {
-    config.subscribe(this::follow);
-    follow(config.read());
+  public UpstreamRegistry(Section<ConfigSnapshot> config) {
+    config.subscribe(this::apply);
+    apply(config.read());
   }
 
-  private synchronized void follow(ConfigSnapshot snapshot) {
+  private synchronized void apply(ConfigSnapshot snapshot) {
     List<Resource> upstreams = snapshot.list(ResourceKind.UPSTREAM);
     states.keySet().retainAll(upstreams.stream().map(Resource::name).toList());
     upstreams.forEach(this::declare);
@@ -57,7 +57,7 @@
           if (!same) {
             return new UpstreamState(name, spec);
           }
-          known.declare(spec);
+          known.updateSpec(spec);
           return known;
         });
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/Chooser.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamSelector.java
@@ -13,23 +13,23 @@
  * <p>Comparing two at random is nearly as even as comparing all, and it does not send every
  * instance to the same upstream when their load reports are equally old.
  */
-public final class Chooser {
+public final class UpstreamSelector {
 
   private final List<Scorer> scorers;
   private final Random random;
-  private final int compared;
+  private final int sampleSize;
 
   /**
    * Creates the chooser.
    *
    * @param scorers the reasons to prefer an upstream; their scores are added
    * @param random picks whom to compare
-   * @param compared how many to compare
+   * @param sampleSize how many to compare
    */
-  public Chooser(List<Scorer> scorers, Random random, int compared) {
+  public UpstreamSelector(List<Scorer> scorers, Random random, int sampleSize) {
     this.scorers = List.copyOf(scorers);
     this.random = random;
-    this.compared = compared;
+    this.sampleSize = sampleSize;
   }
 
   /**
@@ -38,7 +38,7 @@
    * @param upstream the chosen upstream
    * @param candidates all that were compared
    */
-  public record Choice(UpstreamState upstream, List<Candidate> candidates) {}
+  public record Selection(UpstreamState upstream, List<Candidate> candidates) {}
 
   private record Scored(UpstreamState upstream, Candidate candidate) {}
 
@@ -46,25 +46,28 @@
    * Chooses among upstreams that have room.
    *
    * @param eligible upstreams that may get the call
-   * @param ticket the call
+   * @param request the call
    * @param nowMs the time
    * @return the choice, or empty when there are none
    */
-  public Optional<Choice> choose(List<UpstreamState> eligible, Ticket ticket, long nowMs) {
+  public Optional<Selection> select(
+      List<UpstreamState> eligible, RoutingRequest request, long nowMs) {
     List<Scored> scored =
-        sample(eligible).stream().map(upstream -> score(upstream, ticket, nowMs)).toList();
+        sample(eligible).stream().map(upstream -> score(upstream, request, nowMs)).toList();
     return scored.stream()
         .min(Comparator.comparingDouble(entry -> entry.candidate().score()))
-        .map(best -> new Choice(best.upstream(), scored.stream().map(Scored::candidate).toList()));
+        .map(
+            best ->
+                new Selection(best.upstream(), scored.stream().map(Scored::candidate).toList()));
   }
 
   private List<UpstreamState> sample(List<UpstreamState> eligible) {
-    if (eligible.size() <= compared) {
+    if (eligible.size() <= sampleSize) {
       return eligible;
     }
     List<UpstreamState> left = new ArrayList<>(eligible);
-    List<UpstreamState> taken = new ArrayList<>(compared);
-    for (int count = 0; count < compared; count++) {
+    List<UpstreamState> taken = new ArrayList<>(sampleSize);
+    for (int count = 0; count < sampleSize; count++) {
       int last = left.size() - 1;
       int index = random.nextInt(left.size());
       taken.add(left.get(index));
@@ -74,9 +77,9 @@
     return taken;
   }
 
-  private Scored score(UpstreamState upstream, Ticket ticket, long nowMs) {
+  private Scored score(UpstreamState upstream, RoutingRequest request, long nowMs) {
     double score =
-        scorers.stream().mapToDouble(scorer -> scorer.score(upstream, ticket, nowMs)).sum();
+        scorers.stream().mapToDouble(scorer -> scorer.score(upstream, request, nowMs)).sum();
     return new Scored(upstream, new Candidate(upstream.name(), score));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
@@ -21,7 +21,7 @@
       new AtomicReference<>(Optional.empty());
   private final AtomicInteger ownAtReport = new AtomicInteger();
   private volatile long avoidUntilMs;
-  private final AtomicLong restUntilMs = new AtomicLong(Long.MIN_VALUE);
+  private final AtomicLong backoffUntilMs = new AtomicLong(Long.MIN_VALUE);
   private volatile boolean leaving;
   private volatile boolean evacuated;
 
@@ -80,7 +80,7 @@
     return evacuated;
   }
 
-  void declare(UpstreamSpec next) {
+  void updateSpec(UpstreamSpec next) {
     spec.set(next);
   }
 
@@ -103,11 +103,11 @@
     return counter(priority).get();
   }
 
-  void begin(Priority priority) {
+  void beginCall(Priority priority) {
     counter(priority).incrementAndGet();
   }
 
-  void end(Priority priority) {
+  void endCall(Priority priority) {
     counter(priority).decrementAndGet();
   }
 
@@ -178,8 +178,8 @@
    *
    * @param untilMs the time on the timer service
    */
-  public void restUntil(long untilMs) {
-    restUntilMs.accumulateAndGet(untilMs, Math::max);
+  public void backOffUntil(long untilMs) {
+    backoffUntilMs.accumulateAndGet(untilMs, Math::max);
   }
 
   /**
@@ -188,8 +188,8 @@
    * @param nowMs the time
    * @return milliseconds; 0 when it takes calls
    */
-  public long restLeftMs(long nowMs) {
-    return restUntilMs.get() <= nowMs ? 0 : restUntilMs.get() - nowMs;
+  public long backoffLeftMs(long nowMs) {
+    return backoffUntilMs.get() <= nowMs ? 0 : backoffUntilMs.get() - nowMs;
   }
 
   /**
--- /dev/null
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -0,0 +1,73 @@
+package io.mothrill.core.budget;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import io.mothrill.core.fake.Fault;
+import org.junit.jupiter.api.Test;
+
+class AllotmentManagerTest {
+
+  private final BudgetFixture fixture = new BudgetFixture("konya-1");
+
+  // The platform grants tokens, but its answer is lost. The instance must find them when it asks
+  // again, and must not count them twice.
+  @Test
+  void countsGrantOnceWhenItsAnswerWasLost() {
+    // GIVEN
+    fixture.pay(100_000);
+    fixture.platformCalls.fail(Fault.ANSWER_LOST);
+    var lost = fixture.account().reserve(100);
+    assertThat(lost.isCompletedExceptionally()).isTrue();
+    // WHEN
+    fixture.platformCalls.fail(Fault.NONE);
+    Reservation reservation = fixture.account().reserve(100).join();
+    // THEN
+    long inHandTokens = fixture.account().availableTokens() + reservation.tokens();
+    assertThat(inHandTokens).isEqualTo(fixture.allotmentRow().grantedTokens());
+    assertThat(fixture.budgetRow().allottedTokens()).isEqualTo(inHandTokens);
+  }
+
+  // Tokens are given back, but the answer is lost. Put back into the pool at once, they could be
+  // held here and granted to another instance. They stay out until the row has told.
+  @Test
+  void holdsNoTokenTwiceWhenTheAnswerToReturnWasLost() {
+    // GIVEN
+    fixture.pay(100_000);
+    fixture.account().reserve(100).join().release();
+    fixture.platformCalls.fail(Fault.ANSWER_LOST);
+    // WHEN
+    var returned = fixture.budgets.returnAll();
+    assertThat(returned.isCompletedExceptionally()).isTrue();
+    fixture.platformCalls.fail(Fault.NONE);
+    Reservation reservation = fixture.account().reserve(100).join();
+    // THEN
+    long inHandTokens = fixture.account().availableTokens() + reservation.tokens();
+    assertThat(inHandTokens).isEqualTo(fixture.budgetRow().allottedTokens());
+    assertThat(inHandTokens).isGreaterThan(100);
+  }
+
+  @Test
+  void returnsWhatAnIdleAccountDoesNotNeed() {
+    // GIVEN
+    fixture.pay(100_000);
+    fixture.account().reserve(100).join().release();
+    // WHEN
+    fixture.timers.advanceMs(600_000);
+    // THEN
+    assertThat(fixture.budgetRow().allottedTokens()).isEqualTo(fixture.account().availableTokens());
+    assertThat(fixture.account().availableTokens()).isLessThan(100);
+  }
+
+  @Test
+  void holdsAtMostShareOfWhatIsLeftHoweverOftenItIsRefilled() {
+    // GIVEN
+    fixture.pay(20_000);
+    // WHEN
+    for (int call = 0; call < 100; call++) {
+      fixture.account().reserve(10).join().release();
+      fixture.timers.advanceMs(1_000);
+    }
+    // THEN
+    assertThat(fixture.account().availableTokens()).isAtMost(20_000 / 4);
+  }
+}
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -15,40 +15,40 @@
 
 class BudgetAccountReserveTest {
 
-  private final BudgetBench bench = new BudgetBench("konya-1");
+  private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
   @Test
   void takesTokensFromThePlatformAndGivesBackWhatWasNotUsed() {
     // GIVEN
-    bench.pay(10_000);
+    fixture.pay(10_000);
     // WHEN
-    Reservation reservation = bench.account().reserve(100).join();
-    long heldTokens = bench.account().availableTokens();
+    Reservation reservation = fixture.account().reserve(100).join();
+    long heldTokens = fixture.account().availableTokens();
     var owed = reservation.settle(30);
     // THEN
-    assertThat(owed).containsExactly(new BillPart(bench.allotment(), 30));
-    assertThat(bench.account().availableTokens()).isEqualTo(heldTokens + 70);
-    assertThat(bench.allotmentRow().grantedTokens()).isEqualTo(heldTokens + 100);
+    assertThat(owed).containsExactly(new BillPart(fixture.allotment(), 30));
+    assertThat(fixture.account().availableTokens()).isEqualTo(heldTokens + 70);
+    assertThat(fixture.allotmentRow().grantedTokens()).isEqualTo(heldTokens + 100);
   }
 
   @Test
   void isRefusedAsExhaustedWhenTheBudgetHasNoRoom() {
     // GIVEN
-    bench.pay(99);
+    fixture.pay(99);
     // WHEN
-    CompletableFuture<Reservation> refused = bench.account().reserve(100);
+    CompletableFuture<Reservation> refused = fixture.account().reserve(100);
     // THEN
     assertThat(errorOf(refused).isExhausted()).isTrue();
-    assertThat(bench.account().reserve(99).join().tokens()).isEqualTo(99);
+    assertThat(fixture.account().reserve(99).join().tokens()).isEqualTo(99);
   }
 
   @Test
-  void isRefusedAsOutOfReachWhenThePlatformDoesNotAnswer() {
+  void isRefusedAsOutOfReachWhenThePlatformIsUnreachable() {
     // GIVEN
-    bench.pay(10_000);
-    bench.way.fail(Fault.DOWN);
+    fixture.pay(10_000);
+    fixture.platformCalls.fail(Fault.DOWN);
     // WHEN
-    CompletableFuture<Reservation> refused = bench.account().reserve(100);
+    CompletableFuture<Reservation> refused = fixture.account().reserve(100);
     // THEN
     assertThat(errorOf(refused).isExhausted()).isFalse();
   }
@@ -57,15 +57,15 @@
   // refused with that round, it would be a false refusal: the budget has room. It gets a round of
   // its own.
   @Test
-  void isNotRefusedForRoundThatBeganBeforeItCame() {
+  void isNotRefusedByRoundThatStartedBeforeIt() {
     // GIVEN
-    bench.pay(10_000);
-    bench.way.slowDown(10);
-    CompletableFuture<Reservation> first = bench.account().reserve(100);
-    bench.timers.advanceMs(5);
+    fixture.pay(10_000);
+    fixture.platformCalls.slowDown(10);
+    CompletableFuture<Reservation> first = fixture.account().reserve(100);
+    fixture.timers.advanceMs(5);
     // WHEN
-    CompletableFuture<Reservation> late = bench.account().reserve(5_000);
-    bench.timers.advanceMs(200);
+    CompletableFuture<Reservation> late = fixture.account().reserve(5_000);
+    fixture.timers.advanceMs(200);
     // THEN
     assertThat(first.join().tokens()).isEqualTo(100);
     assertThat(late.join().tokens()).isEqualTo(5_000);
@@ -85,10 +85,10 @@
           if (taken.isEmpty()) {
             taken.add(account.tryReserve(need.needTokens()));
           }
-          return CompletableFuture.completedFuture(TokenSource.Answer.ADDED);
+          return CompletableFuture.completedFuture(TokenSource.Result.ADDED);
         };
     BudgetAccount account =
-        new BudgetAccount("branch", bench.timers, List.of(platform), settled -> {});
+        new BudgetAccount("branch", fixture.timers, List.of(platform), settled -> {});
     account.addPool(pool);
     // WHEN
     Reservation served = account.reserve(600).join();
@@ -101,34 +101,34 @@
   // back. While another request gathers tokens here, that would take away what it has found: it is
   // refused although the budget has room.
   @Test
-  void keepsWhatOneRequestHasGatheredWhenAnotherIsSettled() {
+  void keepsTokensCollectedForOneRequestWhenAnotherIsSettled() {
     // GIVEN
-    bench.pay(1_000);
-    final Reservation running = bench.account().reserve(100).join();
-    bench.way.slowDown(10);
+    fixture.pay(1_000);
+    final Reservation running = fixture.account().reserve(100).join();
+    fixture.platformCalls.slowDown(10);
     TokenPool loan = new TokenPool(new AllotmentId("konya-2.1", "branch"), () -> Long.MAX_VALUE);
     loan.put(400);
     // WHEN
-    final CompletableFuture<Reservation> waiting = bench.account().reserve(1_300);
-    bench.timers.advanceMs(5);
-    bench.account().addPool(loan);
+    final CompletableFuture<Reservation> waiting = fixture.account().reserve(1_300);
+    fixture.timers.advanceMs(5);
+    fixture.account().addPool(loan);
     running.release();
-    bench.timers.advanceMs(200);
+    fixture.timers.advanceMs(200);
     // THEN
     assertThat(waiting.join().tokens()).isEqualTo(1_300);
   }
 
   @Test
-  void stopsBeforeTheLeaseEndsWhileThePlatformIsAway() {
+  void stopsBeforeTheLeaseEndsWhileThePlatformIsUnreachable() {
     // GIVEN
-    bench.pay(10_000);
-    bench.account().reserve(100).join().release();
-    bench.way.fail(Fault.DOWN);
+    fixture.pay(10_000);
+    fixture.account().reserve(100).join().release();
+    fixture.platformCalls.fail(Fault.DOWN);
     // WHEN
-    bench.timers.advanceMs(530_000);
-    boolean before = bench.account().tryReserve(100).isPresent();
-    bench.timers.advanceMs(20_000);
-    boolean after = bench.account().tryReserve(100).isPresent();
+    fixture.timers.advanceMs(530_000);
+    boolean before = fixture.account().tryReserve(100).isPresent();
+    fixture.timers.advanceMs(20_000);
+    boolean after = fixture.account().tryReserve(100).isPresent();
     // THEN
     assertThat(before).isTrue();
     assertThat(after).isFalse();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetBench.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
@@ -16,27 +16,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /** One instance's budgets before a table in memory, without peers. */
-final class BudgetBench {
+final class BudgetFixture {
 
   static final String BUDGET = "branch";
 
   final ManualTimers timers = new ManualTimers();
   final FakeTable table = new FakeTable(timers);
-  final FaultyCalls way = new FaultyCalls(timers);
+  final FaultyCalls platformCalls = new FaultyCalls(timers);
   final Lease lease;
   final BudgetController budgets;
   private int topUpCount;
 
-  BudgetBench(String id) {
+  BudgetFixture(String id) {
     InstanceRecord self = new InstanceRecord(id, id + ".1", "konya", id, 1, false);
     BudgetSettings settings =
         new BudgetSettings(600_000, 60_000, 60_000, 600_000, 30_000, 4, 1_000, 1_000);
-    this.lease = new Lease(table.through(way), timers, self.incarnation(), 600_000, 60_000);
+    this.lease =
+        new Lease(table.through(platformCalls), timers, self.incarnation(), 600_000, 60_000);
     this.budgets =
         new BudgetController(
-            table.through(way),
+            table.through(platformCalls),
             lease,
-            new Section<>(Membership.alone(self)),
+            new Section<>(Membership.selfOnly(self)),
             (peer, request, timeoutMs) ->
                 CompletableFuture.failedFuture(PeerException.connectionRefused(peer.id())),
             new PeerDispatcher(),
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
@@ -9,23 +9,27 @@
 
 class LeaseTest {
 
-  private final BudgetBench bench = new BudgetBench("konya-1");
+  private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
   private Row row() {
-    return bench.table.read(List.of(BudgetTables.lease(bench.lease.incarnation()))).join().get(0);
+    return fixture
+        .table
+        .read(List.of(BudgetTables.lease(fixture.lease.incarnation())))
+        .join()
+        .get(0);
   }
 
   @Test
   void countsFromWhenTheRenewalWasSent() {
     // GIVEN
-    bench.way.slowDown(5_000);
-    long sentAtMs = bench.timers.nowMs();
+    fixture.platformCalls.slowDown(5_000);
+    long sentAtMs = fixture.timers.nowMs();
     // WHEN
-    var renewed = bench.lease.renew();
-    bench.timers.advanceMs(11_000);
+    var renewed = fixture.lease.renew();
+    fixture.timers.advanceMs(11_000);
     // THEN
     assertThat(renewed.isDone()).isTrue();
-    assertThat(bench.lease.spendUntilMs()).isEqualTo(sentAtMs + 600_000 - 60_000);
+    assertThat(fixture.lease.spendUntilMs()).isEqualTo(sentAtMs + 600_000 - 60_000);
   }
 
   // An instance sleeps past its lease; others close it and remove its row. When it wakes up it must
@@ -33,14 +37,15 @@
   @Test
   void staysClosedWhenItsRowWasRemoved() {
     // GIVEN
-    var removed = bench.table.write(new Transaction(List.of(), List.of()).andDelete(row())).join();
+    var removed =
+        fixture.table.write(new Transaction(List.of(), List.of()).andDelete(row())).join();
     // WHEN
-    var renewed = bench.lease.renew();
+    var renewed = fixture.lease.renew();
     // THEN
     assertThat(removed).isTrue();
     assertThat(renewed.isCompletedExceptionally()).isTrue();
-    assertThat(bench.lease.isClosed()).isTrue();
-    assertThat(bench.lease.isInForce()).isFalse();
+    assertThat(fixture.lease.isClosed()).isTrue();
+    assertThat(fixture.lease.isValid()).isFalse();
     assertThat(row().exists()).isFalse();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/peer/RendezvousTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/peer/RendezvousHashTest.java
@@ -7,7 +7,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class RendezvousTest {
+class RendezvousHashTest {
 
   private static InstanceRecord instance(int number) {
     return new InstanceRecord("e-" + number, "e-" + number, "konya", "::1", 1, false);
@@ -15,12 +15,13 @@
 
   @Test
   void placeOfAnInstanceIsItsRank() {
-    List<InstanceRecord> all = IntStream.range(0, 20).mapToObj(RendezvousTest::instance).toList();
-    List<InstanceRecord> ranked = Rendezvous.rank("i-1@5", all);
+    List<InstanceRecord> all =
+        IntStream.range(0, 20).mapToObj(RendezvousHashTest::instance).toList();
+    List<InstanceRecord> ranked = RendezvousHash.rank("i-1@5", all);
 
     for (InstanceRecord one : all) {
       List<InstanceRecord> others = all.stream().filter(other -> !other.equals(one)).toList();
-      assertThat(Rendezvous.place("i-1@5", one, others)).isEqualTo(ranked.indexOf(one));
+      assertThat(RendezvousHash.rankOf("i-1@5", one, others)).isEqualTo(ranked.indexOf(one));
     }
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
@@ -30,7 +30,7 @@
 
   private final ManualTimers timers = new ManualTimers();
   private final FakeTable table = new FakeTable(timers);
-  private final Section<Membership> members = new Section<>(Membership.alone(SELF));
+  private final Section<Membership> members = new Section<>(Membership.selfOnly(SELF));
   private CompletableFuture<PeerMessage> peerReply =
       CompletableFuture.completedFuture(new PeerMessage.Done());
   private final PeerLinks links = (peer, request, timeoutMs) -> peerReply;
@@ -43,7 +43,7 @@
   private RangeOwner owner() {
     Lease lease = new Lease(table, timers, SELF.incarnation(), 600_000, 60_000);
     RangeBackup backup = new RangeBackup(members, new PeerDispatcher(), timers, 600_000);
-    RangeTaker taker = new RangeTaker(table, lease, members, links, timers, backup);
+    RangeAcquirer taker = new RangeAcquirer(table, lease, members, links, timers, backup);
     timers.advanceMs(1);
     return new RangeOwner(table, lease, members, links, timers, taker, backup);
   }
@@ -55,7 +55,7 @@
   }
 
   private OwnedRange range() {
-    return owner.range(RANGE).join().orElseThrow();
+    return owner.acquire(RANGE).join().orElseThrow();
   }
 
   private void addPeer() {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void letsTheRunCountThatEndsFirst() {
+  void countsOnlyTheRunThatEndsFirst() {
     // GIVEN
     OwnedRange range = range();
     // WHEN
@@ -85,7 +85,7 @@
     final OwnedRange range = range();
     addPeer();
     peerReply = new CompletableFuture<>();
-    owner.tend();
+    owner.maintain();
     // WHEN
     Verdict during = owner.finish(range, end("run-1")).join();
     peerReply.complete(new PeerMessage.Done());
@@ -99,7 +99,7 @@
   // Another instance has fenced the backup and taken the range. The old owner is told so by the
   // backup's refusal, and must not confirm anything.
   @Test
-  void givesTheRangeUpWhenItsBackupRefuses() {
+  void relinquishesRangeWhenItsBackupRefuses() {
     // GIVEN
     addPeer();
     OwnedRange range = range();
@@ -108,6 +108,6 @@
     Verdict verdict = owner.finish(range, end("run-1")).join();
     // THEN
     assertThat(verdict).isEqualTo(Verdict.HELD);
-    assertThat(owner.owned(RANGE)).isEmpty();
+    assertThat(owner.find(RANGE)).isEmpty();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
@@ -25,11 +25,11 @@
   private final List<String> order = new ArrayList<>();
   private final Router router =
       new Router(
-          new UpstreamTable(config),
-          new Chooser(List.of(new LoadScorer(1_000)), new Random(1), 2),
-          new SharedWindow(),
+          new UpstreamRegistry(config),
+          new UpstreamSelector(List.of(new LoadScorer(1_000)), new Random(1), 2),
+          new SharedAdmissionPolicy(),
           timers,
-          decision -> order.add(decision.ticket().requestId()),
+          decision -> order.add(decision.request().requestId()),
           new QueueSettings(5_000, 120_000, 30_000));
 
   private void declare(boolean leaving) {
@@ -43,7 +43,7 @@
 
   private CompletableFuture<Assignment> route(String id, String team, Priority priority) {
     return router.route(
-        new Ticket(id, "asistan", team, priority, "", Set.of(), timers.nowMs() + 60_000));
+        new RoutingRequest(id, "asistan", team, priority, "", Set.of(), timers.nowMs() + 60_000));
   }
 
   @Test
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void givesLeavingUpstreamNothingNewWhileCallsWait() {
+  void sendsNoNewCallsToLeavingUpstream() {
     // GIVEN
     declare(false);
     Assignment running = route("first", "a", Priority.URGENT).join();
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void givesTheFinalAnswerWhenCallHasWaitedItsTime() {
+  void refusesCallWhenItsWaitExpires() {
     // GIVEN
     declare(false);
     var running = route("first", "a", Priority.URGENT);
@@ -117,11 +117,11 @@
 
   // An upstream turns a call away and asks for rest; the next call finds no other one.
   @Test
-  void givesNothingToUpstreamThatRests() {
+  void sendsNothingToUpstreamThatBacksOff() {
     // GIVEN
     declare(false);
     Assignment refused = route("first", "a", Priority.URGENT).join();
-    refused.upstream().restUntil(timers.nowMs() + 3_000);
+    refused.upstream().backOffUntil(timers.nowMs() + 3_000);
     refused.release();
     // WHEN
     var next = route("next", "a", Priority.URGENT);
@@ -132,15 +132,15 @@
   }
 
   @Test
-  void shorterRestDoesNotCutLongerOneShort() {
+  void shorterBackoffDoesNotShortenLongerOne() {
     // GIVEN
     declare(false);
     UpstreamState upstream = route("first", "a", Priority.URGENT).join().upstream();
     // WHEN
-    upstream.restUntil(timers.nowMs() + 3_000);
-    upstream.restUntil(timers.nowMs() + 500);
+    upstream.backOffUntil(timers.nowMs() + 3_000);
+    upstream.backOffUntil(timers.nowMs() + 500);
     // THEN
-    assertThat(upstream.restLeftMs(timers.nowMs())).isEqualTo(3_000);
+    assertThat(upstream.backoffLeftMs(timers.nowMs())).isEqualTo(3_000);
   }
 
   private static long retryAfterMs(CompletableFuture<Assignment> refused) {
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/SplitWindowTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/SplitAdmissionPolicyTest.java
@@ -6,15 +6,15 @@
 import io.mothrill.core.resource.UpstreamSpec;
 import org.junit.jupiter.api.Test;
 
-class SplitWindowTest {
+class SplitAdmissionPolicyTest {
 
-  private final SplitWindow window = new SplitWindow(0.3, 0.1, 1_000);
+  private final SplitAdmissionPolicy policy = new SplitAdmissionPolicy(0.3, 0.1, 1_000);
   private final UpstreamState upstream =
       new UpstreamState("e1", new UpstreamSpec("asistan", "127.0.0.1", 1, "konya", 10, false));
 
   private void begin(Priority priority, int calls) {
     for (int call = 0; call < calls; call++) {
-      upstream.begin(priority);
+      upstream.beginCall(priority);
     }
   }
 
@@ -24,8 +24,8 @@
     // GIVEN
     begin(Priority.BATCH, 7);
     // THEN
-    assertThat(window.admits(upstream, WindowClass.BATCH, 0)).isFalse();
-    assertThat(window.admits(upstream, WindowClass.URGENT, 0)).isTrue();
+    assertThat(policy.admits(upstream, AdmissionClass.BATCH, 0)).isFalse();
+    assertThat(policy.admits(upstream, AdmissionClass.URGENT, 0)).isTrue();
   }
 
   @Test
@@ -33,8 +33,8 @@
     // GIVEN
     begin(Priority.URGENT, 9);
     // THEN
-    assertThat(window.admits(upstream, WindowClass.URGENT, 0)).isFalse();
-    assertThat(window.admits(upstream, WindowClass.BATCH, 0)).isTrue();
+    assertThat(policy.admits(upstream, AdmissionClass.URGENT, 0)).isFalse();
+    assertThat(policy.admits(upstream, AdmissionClass.BATCH, 0)).isTrue();
   }
 
   // Many old batch calls must not push out the urgent ones: they get one slot more, not all.
@@ -43,9 +43,9 @@
     // GIVEN
     begin(Priority.BATCH, 7);
     // WHEN
-    boolean eighth = window.admits(upstream, WindowClass.AGED_BATCH, 0);
+    boolean eighth = policy.admits(upstream, AdmissionClass.AGED_BATCH, 0);
     begin(Priority.BATCH, 1);
-    boolean ninth = window.admits(upstream, WindowClass.AGED_BATCH, 0);
+    boolean ninth = policy.admits(upstream, AdmissionClass.AGED_BATCH, 0);
     // THEN
     assertThat(eighth).isTrue();
     assertThat(ninth).isFalse();
@@ -56,7 +56,7 @@
     // GIVEN
     upstream.report(new LoadReport(7, 0, false, 0));
     // THEN
-    assertThat(window.admits(upstream, WindowClass.BATCH, 0)).isFalse();
-    assertThat(window.admits(upstream, WindowClass.BATCH, 600)).isTrue();
+    assertThat(policy.admits(upstream, AdmissionClass.BATCH, 0)).isFalse();
+    assertThat(policy.admits(upstream, AdmissionClass.BATCH, 600)).isTrue();
   }
 }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
@@ -113,7 +113,7 @@
     RequestSettings standard = RequestSettings.standard();
     return new RequestSettings(
         (int) fields.number("maxAttempts", 1, 10, standard.maxAttempts()),
-        percent(fields, "retryPercent", 100, standard.retryShare()),
+        percent(fields, "retryPercent", 100, standard.retryRatio()),
         duration(fields, "stallMs", standard.stallMs()),
         duration(fields, "avoidMs", standard.avoidMs()),
         duration(fields, "finishWaitMs", standard.finishWaitMs()),
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public void piece(byte[] bytes) {
+  public void chunk(byte[] bytes) {
     body.writeBytes(bytes);
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
@@ -156,7 +156,7 @@
         .filter(service -> ((ServiceSpec) service.spec()).type() == ServiceType.MODEL)
         .forEach(service -> data.addObject().put("id", service.name()).put("object", "model"));
     caller.head(HttpResponseStatus.OK.code(), HttpReply.JSON);
-    caller.piece(Json.bytes(node));
+    caller.chunk(Json.bytes(node));
     caller.end();
   }
 
@@ -217,7 +217,7 @@
     held.forEach(ReferenceCountUtil::release);
     held.clear();
     if (exchange != null) {
-      exchange.onCallerGone();
+      exchange.onCallerDisconnected();
     }
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCaller.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCaller.java
@@ -74,7 +74,7 @@
   }
 
   @Override
-  public void piece(byte[] bytes) {
+  public void chunk(byte[] bytes) {
     if (bytes.length > 0) {
       channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes)));
     }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
@@ -132,7 +132,7 @@
     ArrayNode list = node.putArray("decisions");
     String requestId = segments.size() > 3 ? segments.get(3) : "";
     decisions
-        .about(requestId)
+        .forRequest(requestId)
         .forEach(
             decision ->
                 list.addObject()
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
@@ -9,8 +9,8 @@
 import io.mothrill.core.resource.Priority;
 import io.mothrill.core.resource.Resource;
 import io.mothrill.core.routing.Router;
+import io.mothrill.core.routing.UpstreamRegistry;
 import io.mothrill.core.routing.UpstreamState;
-import io.mothrill.core.routing.UpstreamTable;
 import io.mothrill.wire.json.Json;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -20,7 +20,7 @@
 
   private final TableService table;
   private final BudgetController budgets;
-  private final UpstreamTable upstreams;
+  private final UpstreamRegistry upstreams;
   private final Router router;
 
   /**
@@ -32,7 +32,7 @@
    * @param router the queues on this instance
    */
   public ResourceStatus(
-      TableService table, BudgetController budgets, UpstreamTable upstreams, Router router) {
+      TableService table, BudgetController budgets, UpstreamRegistry upstreams, Router router) {
     this.table = table;
     this.budgets = budgets;
     this.upstreams = upstreams;
