--- a/mothrill-core/src/main/java/io/mothrill/core/audit/AuditReport.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/AuditReport.java
@@ -28,7 +28,7 @@
    *
    * @return requests
    */
-  public long requests() {
+  public long billedRequestCount() {
     return billedKeys.size();
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
@@ -54,7 +54,7 @@
     return CompletableFuture.allOf(budgets, topUps, allotments, ledger, late)
         .thenApply(
             nothing ->
-                new Books(
+                new LedgerCheck(
                         budgets.join(),
                         topUps.join(),
                         allotments.join(),
@@ -80,19 +80,19 @@
   }
 
   /** The rows of all books, and what is wrong with them. */
-  private static final class Books {
+  private static final class LedgerCheck {
     private final List<Row> budgets;
     private final List<Row> topUps;
     private final List<Row> allotments;
     private final List<Row> ledger;
-    private final List<Row> late;
+    private final List<Row> lateBills;
     private final List<String> findings = new ArrayList<>();
     private final Map<String, Long> billedByAllotment = new HashMap<>();
     private final Map<String, Long> batchesByAllotment = new HashMap<>();
     private final Map<String, String> billedParts = new HashMap<>();
     private final Map<String, String> runByKey = new HashMap<>();
 
-    Books(
+    LedgerCheck(
         List<Row> budgets,
         List<Row> topUps,
         List<Row> allotments,
@@ -102,13 +102,13 @@
       this.topUps = topUps;
       this.allotments = allotments;
       this.ledger = ledger;
-      this.late = late;
+      this.lateBills = late;
     }
 
     AuditReport check() {
       ledger.forEach(this::checkBatch);
       allotments.forEach(this::checkAllotment);
-      late.forEach(row -> findings.add("late bill, not billed: " + row.key().key()));
+      lateBills.forEach(row -> findings.add("late bill, not billed: " + row.key().key()));
       Map<String, Sums> sums = new TreeMap<>();
       budgets.forEach(row -> sums.put(row.key().key(), checkBudget(row)));
       return new AuditReport(sums, Set.copyOf(runByKey.keySet()), List.copyOf(findings));
@@ -177,7 +177,7 @@
               .filter(entry -> AllotmentId.parse(entry.key().key()).budget().equals(name))
               .map(AllotmentRow::of)
               .toList();
-      long heldTokens = own.stream().mapToLong(Books::held).sum();
+      long heldTokens = own.stream().mapToLong(LedgerCheck::heldTokens).sum();
       if (heldTokens != allottedTokens) {
         findings.add("budget " + name + " allotted " + allottedTokens + ", held " + heldTokens);
       }
@@ -188,7 +188,7 @@
       return new Sums(paidTokens, allottedTokens, billedTokens);
     }
 
-    private static long held(AllotmentRow allotment) {
+    private static long heldTokens(AllotmentRow allotment) {
       return allotment.closed() ? allotment.billedTokens() : allotment.grantedTokens();
     }
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/board/Section.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/board/PublishedValue.java
@@ -18,7 +18,7 @@
  *
  * @param <T> an immutable type
  */
-public final class Section<T> {
+public final class PublishedValue<T> {
 
   private final AtomicReference<T> current;
   private final List<Consumer<T>> listeners = new CopyOnWriteArrayList<>();
@@ -28,7 +28,7 @@
    *
    * @param first the value until the first publication
    */
-  public Section(T first) {
+  public PublishedValue(T first) {
     this.current = new AtomicReference<>(first);
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.budget;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerLinks;
@@ -31,14 +31,14 @@
   private static final long DIRECT_POST_DELAY_MS = 30_000;
 
   private final LedgerPoster ledger;
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final Timers timers;
   private final Map<InstanceRecord, List<PendingBill>> pendingByHolder = new HashMap<>();
 
   BillForwarder(
       LedgerPoster ledger,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       PeerDispatcher dispatcher,
       Timers timers,
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.budget;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.TokenSource.Result;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerLinks;
@@ -25,14 +25,14 @@
 
   private static final long ASK_TIMEOUT_MS = 1_000;
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final Timers timers;
   private final AtomicLong nextTransfer = new AtomicLong();
   private final Map<String, PendingLoan> pendingLoans = new ConcurrentHashMap<>();
   private final Map<String, HandBack> pendingReturns = new ConcurrentHashMap<>();
 
-  Borrower(Section<Membership> members, PeerLinks links, Timers timers) {
+  Borrower(PublishedValue<Membership> members, PeerLinks links, Timers timers) {
     this.members = members;
     this.links = links;
     this.timers = timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
@@ -1,7 +1,7 @@
 package io.mothrill.core.budget;
 
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerLinks;
@@ -50,7 +50,7 @@
   public BudgetController(
       TableService table,
       Lease lease,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       PeerDispatcher dispatcher,
       Timers timers,
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/HolderSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/HolderSource.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.budget;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.RendezvousHash;
 import io.mothrill.core.platform.InstanceRecord;
@@ -15,13 +15,16 @@
  */
 final class HolderSource implements TokenSource {
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Borrower borrower;
   private final AllotmentManager allotments;
   private final long sliceMs;
 
   HolderSource(
-      Section<Membership> members, Borrower borrower, AllotmentManager allotments, long sliceMs) {
+      PublishedValue<Membership> members,
+      Borrower borrower,
+      AllotmentManager allotments,
+      long sliceMs) {
     this.members = members;
     this.borrower = borrower;
     this.allotments = allotments;
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/PeerSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/PeerSource.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.budget;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.RendezvousHash;
 import io.mothrill.core.platform.InstanceRecord;
@@ -18,10 +18,10 @@
 
   private static final int MAX_ASKED = 16;
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Borrower borrower;
 
-  PeerSource(Section<Membership> members, Borrower borrower) {
+  PeerSource(PublishedValue<Membership> members, Borrower borrower) {
     this.members = members;
     this.borrower = borrower;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.budget;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.RendezvousHash;
 import io.mothrill.core.platform.Cells;
@@ -30,7 +30,7 @@
   private static final int SCAN_ROWS = 500;
 
   private final TableService table;
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Timers timers;
   private final long graceMs;
   private final AtomicBoolean busy = new AtomicBoolean();
@@ -43,7 +43,8 @@
    * @param timers the time
    * @param graceMs how long after a lease's end its allotments still take bills
    */
-  public Reclaimer(TableService table, Section<Membership> members, Timers timers, long graceMs) {
+  public Reclaimer(
+      TableService table, PublishedValue<Membership> members, Timers timers, long graceMs) {
     this.table = table;
     this.members = members;
     this.timers = timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ChangeSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ChangeSource.java
@@ -13,5 +13,5 @@
    * @param limit at most this many
    * @return the next changes without a gap; empty when there are none
    */
-  CompletableFuture<List<Change>> after(long revision, int limit);
+  CompletableFuture<List<Change>> changesAfter(long revision, int limit);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.config;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.time.Timers;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,11 +19,11 @@
 public final class ConfigController {
 
   private static final int CHANGES_PER_READ = 200;
-  private static final int KEPT_CHANGES = 2_000;
+  private static final int MAX_RECENT_CHANGES = 2_000;
 
-  private final Section<ConfigSnapshot> section;
+  private final PublishedValue<ConfigSnapshot> section;
   private final ConfigStore store;
-  private final AtomicBoolean busy = new AtomicBoolean();
+  private final AtomicBoolean polling = new AtomicBoolean();
   private final AtomicReference<List<Change>> recent = new AtomicReference<>(List.of());
 
   /**
@@ -37,7 +37,7 @@
    *     others hear of a later revision from their peers
    */
   public ConfigController(
-      Section<ConfigSnapshot> section,
+      PublishedValue<ConfigSnapshot> section,
       ConfigStore store,
       Timers timers,
       long pollMs,
@@ -56,15 +56,16 @@
 
   /** Asks the platform's table for later changes, unless a poll is still under way. */
   public void poll() {
-    if (!busy.compareAndSet(false, true)) {
+    if (!polling.compareAndSet(false, true)) {
       return;
     }
     boolean first = section.read().revision() == 0;
-    CompletableFuture<Void> read = first ? store.load().thenAccept(this::takeUp) : readAfter(store);
+    CompletableFuture<Void> read =
+        first ? store.load().thenAccept(this::applyChanges) : readAfter(store);
     var unused =
         read.whenComplete(
             (nothing, error) -> {
-              busy.set(false);
+              polling.set(false);
               if (error != null) {
                 Logger.debug("configuration poll failed: {}", error.getMessage());
               }
@@ -81,19 +82,19 @@
   }
 
   private CompletableFuture<Void> readAfter(ChangeSource source) {
-    long heldRevision = section.read().revision();
+    long currentRevision = section.read().revision();
     return source
-        .after(heldRevision, CHANGES_PER_READ)
+        .changesAfter(currentRevision, CHANGES_PER_READ)
         .thenCompose(
             changes -> {
-              takeUp(changes);
+              applyChanges(changes);
               return changes.size() < CHANGES_PER_READ
                   ? CompletableFuture.completedFuture(null)
                   : readAfter(source);
             });
   }
 
-  private void takeUp(ConfigSnapshot loaded) {
+  private void applyChanges(ConfigSnapshot loaded) {
     section.update(held -> loaded.revision() > held.revision() ? loaded : held);
   }
 
@@ -105,13 +106,13 @@
    *
    * @param changes changes in order of revision
    */
-  public void takeUp(List<Change> changes) {
+  public void applyChanges(List<Change> changes) {
     section.update(held -> isGapless(held, changes) ? held.with(changes) : held);
-    recent.updateAndGet(before -> remember(before, changes));
+    recent.updateAndGet(before -> appendRecent(before, changes));
   }
 
   /** Keeps the last changes for peers that cannot reach the platform; drops all at a gap. */
-  private static List<Change> remember(List<Change> before, List<Change> changes) {
+  private static List<Change> appendRecent(List<Change> before, List<Change> changes) {
     List<Change> kept = new ArrayList<>(before);
     for (Change change : changes) {
       long last = kept.isEmpty() ? change.revision() - 1 : kept.get(kept.size() - 1).revision();
@@ -122,7 +123,7 @@
         kept.add(change);
       }
     }
-    return List.copyOf(kept.subList(Math.max(0, kept.size() - KEPT_CHANGES), kept.size()));
+    return List.copyOf(kept.subList(Math.max(0, kept.size() - MAX_RECENT_CHANGES), kept.size()));
   }
 
   /**
@@ -139,8 +140,8 @@
     return follows ? newer : List.of();
   }
 
-  private static boolean isGapless(ConfigSnapshot held, List<Change> changes) {
-    long next = held.revision() + 1;
+  private static boolean isGapless(ConfigSnapshot current, List<Change> changes) {
+    long next = current.revision() + 1;
     for (Change change : changes) {
       if (change.revision() > next) {
         return false;
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
@@ -74,11 +74,11 @@
     }
     Map<ResourceKind, Map<String, Resource>> copy = new EnumMap<>(ResourceKind.class);
     resources.forEach((kind, byName) -> copy.put(kind, new TreeMap<>(byName)));
-    newer.forEach(change -> takeUp(copy, change));
+    newer.forEach(change -> applyChange(copy, change));
     return new ConfigSnapshot(newer.get(newer.size() - 1).revision(), copy);
   }
 
-  private static void takeUp(Map<ResourceKind, Map<String, Resource>> copy, Change change) {
+  private static void applyChange(Map<ResourceKind, Map<String, Resource>> copy, Change change) {
     Map<String, Resource> byName = copy.computeIfAbsent(change.kind(), kind -> new TreeMap<>());
     Resource held = byName.get(change.name());
     if (held != null && held.revision() >= change.revision()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
@@ -67,10 +67,10 @@
    *     InvalidInputException}
    */
   public CompletableFuture<Change> change(ChangeRequest request) {
-    return attempt(request, 1).exceptionallyCompose(error -> translate(error));
+    return attempt(request, 1).exceptionallyCompose(error -> toConfigException(error));
   }
 
-  private CompletableFuture<Change> translate(Throwable error) {
+  private CompletableFuture<Change> toConfigException(Throwable error) {
     Throwable cause = Failures.unwrap(error);
     return CompletableFuture.failedFuture(
         cause instanceof PlatformException
@@ -80,27 +80,27 @@
 
   private CompletableFuture<Change> attempt(ChangeRequest request, int attempt) {
     return table
-        .read(rowsOf(request))
+        .read(rowKeysOf(request))
         .thenCompose(
             rows -> {
               Row changeId = rows.get(2);
               if (changeId.exists()) {
-                return acceptedBefore(changeId);
+                return readAcceptedChange(changeId);
               }
               return write(request, rows, attempt);
             });
   }
 
-  private static List<RowKey> rowsOf(ChangeRequest request) {
+  private static List<RowKey> rowKeysOf(ChangeRequest request) {
     List<RowKey> keys = new ArrayList<>();
     keys.add(ConfigTables.head());
     keys.add(ConfigTables.resource(request.kind(), request.name()));
     keys.add(ConfigTables.changeId(request.changeId()));
-    request.spec().ifPresent(spec -> keys.addAll(referredTo(request.name(), spec)));
+    request.spec().ifPresent(spec -> keys.addAll(referencedKeys(request.name(), spec)));
     return keys;
   }
 
-  private static List<RowKey> referredTo(String name, Spec spec) {
+  private static List<RowKey> referencedKeys(String name, Spec spec) {
     List<RowKey> keys = new ArrayList<>();
     if (spec instanceof BudgetSpec budget) {
       keys.add(ConfigTables.resource(ResourceKind.TEAM, budget.team()));
@@ -112,7 +112,7 @@
     return keys;
   }
 
-  private CompletableFuture<Change> acceptedBefore(Row changeId) {
+  private CompletableFuture<Change> readAcceptedChange(Row changeId) {
     long revision = changeId.cells().number(ConfigTables.REVISION);
     return table
         .read(List.of(ConfigTables.change(revision)))
@@ -129,22 +129,22 @@
         Transaction.on(head, Cells.empty().with(ConfigTables.REVISION, revision))
             .and(rows.get(2), Cells.empty().with(ConfigTables.REVISION, revision))
             .and(Row.absent(ConfigTables.change(revision)), encode(change));
-    Transaction whole =
+    Transaction fullTransaction =
         request.spec().isPresent()
             ? withResource(transaction, change, rows)
             : transaction.andDelete(resourceRow);
     CompletableFuture<Void> allowed =
-        request.spec().isPresent() ? CompletableFuture.completedFuture(null) : unused(request);
+        request.spec().isPresent() ? CompletableFuture.completedFuture(null) : checkUnused(request);
     return allowed
-        .thenCompose(nothing -> table.write(whole))
-        .thenCompose(written -> written ? accepted(change) : again(request, attempt));
+        .thenCompose(nothing -> table.write(fullTransaction))
+        .thenCompose(written -> written ? accepted(change) : retry(request, attempt));
   }
 
   private static CompletableFuture<Change> accepted(Change change) {
     return CompletableFuture.completedFuture(change);
   }
 
-  private CompletableFuture<Change> again(ChangeRequest request, int attempt) {
+  private CompletableFuture<Change> retry(ChangeRequest request, int attempt) {
     if (attempt >= MAX_ATTEMPTS) {
       return CompletableFuture.failedFuture(
           PlatformException.unreachable("lost " + attempt + " races for the next revision"));
@@ -181,17 +181,17 @@
         Cells.empty()
             .with(ConfigTables.REVISION, change.revision())
             .with(ConfigTables.JSON, codec.encode(resource));
-    Transaction longer = transaction.and(rows.get(1), cells);
+    Transaction extended = transaction.and(rows.get(1), cells);
     if (resource.spec() instanceof BudgetSpec budget) {
-      return withTopUps(longer.requiring(known("spec.team", rows.get(3))), budget, rows);
+      return withTopUps(extended.requiring(requireExists("spec.team", rows.get(3))), budget, rows);
     }
     if (resource.spec() instanceof UpstreamSpec) {
-      return longer.requiring(known("spec.service", rows.get(3)));
+      return extended.requiring(requireExists("spec.service", rows.get(3)));
     }
-    return longer;
+    return extended;
   }
 
-  private static Row known(String path, Row row) {
+  private static Row requireExists(String path, Row row) {
     if (!row.exists()) {
       String name = row.key().key();
       throw InvalidInputException.of(FieldError.refused(path, "there is no " + name));
@@ -202,7 +202,7 @@
   private static Transaction withTopUps(
       Transaction transaction, BudgetSpec budget, List<Row> rows) {
     Row budgetRow = rows.get(4);
-    Transaction longer = transaction;
+    Transaction extended = transaction;
     long addedTokens = 0;
     for (int index = 0; index < budget.topUps().size(); index++) {
       TopUp topUp = budget.topUps().get(index);
@@ -210,14 +210,14 @@
       if (topUpRow.exists()) {
         checkSameTokens(index, topUp, topUpRow);
       } else {
-        longer = longer.and(topUpRow, BudgetTables.topUpCells(topUp.tokens()));
+        extended = extended.and(topUpRow, BudgetTables.topUpCells(topUp.tokens()));
         addedTokens = Math.addExact(addedTokens, topUp.tokens());
       }
     }
     if (addedTokens == 0 && budgetRow.exists()) {
-      return longer;
+      return extended;
     }
-    return longer.and(budgetRow, BudgetTables.addPaid(budgetRow, addedTokens));
+    return extended.and(budgetRow, BudgetTables.addPaid(budgetRow, addedTokens));
   }
 
   private static void checkSameTokens(int index, TopUp topUp, Row topUpRow) {
@@ -231,7 +231,7 @@
   }
 
   /** Refuses the deletion of a resource that others still name. */
-  private CompletableFuture<Void> unused(ChangeRequest request) {
+  private CompletableFuture<Void> checkUnused(ChangeRequest request) {
     return load()
         .thenAccept(
             snapshot -> {
@@ -287,7 +287,7 @@
   }
 
   @Override
-  public CompletableFuture<List<Change>> after(long revision, int limit) {
+  public CompletableFuture<List<Change>> changesAfter(long revision, int limit) {
     return table
         .scan(ConfigTables.CHANGES, "", ConfigTables.changeKey(revision), limit)
         .thenApply(rows -> rows.stream().map(this::decode).toList());
--- a/mothrill-core/src/main/java/io/mothrill/core/drain/DrainController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/DrainController.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.drain;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.time.Subscription;
 import io.mothrill.core.time.Timers;
 import java.util.concurrent.CompletableFuture;
@@ -21,7 +21,7 @@
 
   private static final long CHECK_MS = 50;
 
-  private final Section<DrainStage> stage;
+  private final PublishedValue<DrainStage> stage;
   private final Timers timers;
   private final DrainSettings settings;
   private final DrainWork work;
@@ -37,7 +37,7 @@
    * @param work what is done in them
    */
   public DrainController(
-      Section<DrainStage> stage, Timers timers, DrainSettings settings, DrainWork work) {
+      PublishedValue<DrainStage> stage, Timers timers, DrainSettings settings, DrainWork work) {
     this.stage = stage;
     this.timers = timers;
     this.settings = settings;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
@@ -15,8 +15,8 @@
 
   private final Map<String, Entry> entries = new ConcurrentHashMap<>();
   private final Timers timers;
-  private final long forgetAfterMs;
-  private final FaultyCalls faults;
+  private final long expiryMs;
+  private final FaultInjector faults;
 
   /**
    * Creates an empty list.
@@ -26,8 +26,8 @@
    */
   public FakeInstanceList(Timers timers, long forgetAfterMs) {
     this.timers = timers;
-    this.forgetAfterMs = forgetAfterMs;
-    this.faults = new FaultyCalls(timers);
+    this.expiryMs = forgetAfterMs;
+    this.faults = new FaultInjector(timers);
   }
 
   /**
@@ -35,7 +35,7 @@
    *
    * @return the faults
    */
-  public FaultyCalls faults() {
+  public FaultInjector faults() {
     return faults;
   }
 
@@ -55,7 +55,7 @@
   }
 
   private List<InstanceRecord> listNow() {
-    long oldestMs = timers.nowMs() - forgetAfterMs;
+    long oldestMs = timers.nowMs() - expiryMs;
     return entries.values().stream()
         .filter(entry -> entry.announcedMs >= oldestMs)
         .map(Entry::instance)
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeObjectStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeObjectStore.java
@@ -11,7 +11,7 @@
 public final class FakeObjectStore implements ObjectStore {
 
   private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
-  private final FaultyCalls faults;
+  private final FaultInjector faults;
 
   /**
    * Creates an empty store.
@@ -19,7 +19,7 @@
    * @param timers the time
    */
   public FakeObjectStore(Timers timers) {
-    this.faults = new FaultyCalls(timers);
+    this.faults = new FaultInjector(timers);
   }
 
   /**
@@ -27,7 +27,7 @@
    *
    * @return the faults
    */
-  public FaultyCalls faults() {
+  public FaultInjector faults() {
     return faults;
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
@@ -14,7 +14,7 @@
 public final class FakeTable implements TableService {
 
   private final TreeMap<String, TreeMap<String, Row>> tables = new TreeMap<>();
-  private final FaultyCalls faults;
+  private final FaultInjector faults;
   private final AtomicLong readCount = new AtomicLong();
   private final AtomicLong writeCount = new AtomicLong();
   private final AtomicLong rowsWrittenCount = new AtomicLong();
@@ -25,7 +25,7 @@
    * @param timers the time
    */
   public FakeTable(Timers timers) {
-    this.faults = new FaultyCalls(timers);
+    this.faults = new FaultInjector(timers);
   }
 
   /**
@@ -33,7 +33,7 @@
    *
    * @return the faults
    */
-  public FaultyCalls faults() {
+  public FaultInjector faults() {
     return faults;
   }
 
@@ -43,8 +43,8 @@
    * @param ownFaults the faults of this way
    * @return a view on this table
    */
-  public TableService through(FaultyCalls ownFaults) {
-    return new View(ownFaults);
+  public TableService withFaults(FaultInjector ownFaults) {
+    return new FaultyView(ownFaults);
   }
 
   /**
@@ -76,18 +76,18 @@
 
   @Override
   public CompletableFuture<List<Row>> read(List<RowKey> keys) {
-    return new View(faults).read(keys);
+    return new FaultyView(faults).read(keys);
   }
 
   @Override
   public CompletableFuture<List<Row>> scan(
       String table, String prefix, String afterKey, int limit) {
-    return new View(faults).scan(table, prefix, afterKey, limit);
+    return new FaultyView(faults).scan(table, prefix, afterKey, limit);
   }
 
   @Override
   public CompletableFuture<Boolean> write(Transaction transaction) {
-    return new View(faults).write(transaction);
+    return new FaultyView(faults).write(transaction);
   }
 
   private synchronized List<Row> readNow(List<RowKey> keys) {
@@ -136,27 +136,27 @@
         .getOrDefault(key.key(), Row.absent(key));
   }
 
-  private final class View implements TableService {
-    private final FaultyCalls way;
+  private final class FaultyView implements TableService {
+    private final FaultInjector faults;
 
-    View(FaultyCalls way) {
-      this.way = way;
+    FaultyView(FaultInjector way) {
+      this.faults = way;
     }
 
     @Override
     public CompletableFuture<List<Row>> read(List<RowKey> keys) {
-      return way.call("read", () -> readNow(keys));
+      return faults.call("read", () -> readNow(keys));
     }
 
     @Override
     public CompletableFuture<List<Row>> scan(
         String table, String prefix, String afterKey, int limit) {
-      return way.call("scan", () -> scanNow(table, prefix, afterKey, limit));
+      return faults.call("scan", () -> scanNow(table, prefix, afterKey, limit));
     }
 
     @Override
     public CompletableFuture<Boolean> write(Transaction transaction) {
-      return way.call("write", () -> writeNow(transaction));
+      return faults.call("write", () -> writeNow(transaction));
     }
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FaultyCalls.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.function.Supplier;
 
 /** Lets calls through to a fake after a delay, or loses them, as the test asks. */
-public final class FaultyCalls {
+public final class FaultInjector {
 
   private final Timers timers;
   private volatile Fault fault = Fault.NONE;
@@ -17,7 +17,7 @@
    *
    * @param timers the time
    */
-  public FaultyCalls(Timers timers) {
+  public FaultInjector(Timers timers) {
     this.timers = timers;
   }
 
@@ -26,7 +26,7 @@
    *
    * @param next the fault
    */
-  public void fail(Fault next) {
+  public void setFault(Fault next) {
     this.fault = next;
   }
 
@@ -35,7 +35,7 @@
    *
    * @param answerDelayMs milliseconds from the effect to the answer
    */
-  public void slowDown(long answerDelayMs) {
+  public void setDelayMs(long answerDelayMs) {
     this.delayMs = answerDelayMs;
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/AvailabilityCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/AvailabilityCheck.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.check;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 import io.mothrill.core.forward.upstream.LeavingUpstreams;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
@@ -18,10 +18,10 @@
   /** Those that follow it register within seconds. */
   private static final long RETRY_MS = 700;
 
-  private final Section<UpstreamList> list;
+  private final PublishedValue<UpstreamList> list;
   private final LeavingUpstreams leaving;
 
-  AvailabilityCheck(Section<UpstreamList> list, LeavingUpstreams leaving) {
+  AvailabilityCheck(PublishedValue<UpstreamList> list, LeavingUpstreams leaving) {
     this.list = list;
     this.leaving = leaving;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/EvacuationCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/EvacuationCheck.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.check;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamQuery;
@@ -18,9 +18,9 @@
   /** Nobody knows when a domain is taken back; a caller that asks once a second does no harm. */
   private static final long RETRY_MS = 1_000;
 
-  private final Section<Set<String>> evacuatedDomains;
+  private final PublishedValue<Set<String>> evacuatedDomains;
 
-  EvacuationCheck(Section<Set<String>> evacuatedDomains) {
+  EvacuationCheck(PublishedValue<Set<String>> evacuatedDomains) {
     this.evacuatedDomains = evacuatedDomains;
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.check;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.permit.SendPermits;
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 import io.mothrill.core.forward.upstream.LeavingUpstreams;
@@ -37,7 +37,7 @@
   /** When to come back if nobody is there: upstreams register within seconds. */
   private static final Rejection NO_UPSTREAM = new Rejection(Cause.NO_UPSTREAM, 700);
 
-  private final Section<UpstreamList> list;
+  private final PublishedValue<UpstreamList> list;
   private final SendPermits warmUpPermits;
   private final SendPermits limitPermits;
   private final Timers timers;
@@ -56,9 +56,9 @@
    * @param timers the time
    */
   public SendChecks(
-      Section<UpstreamList> list,
+      PublishedValue<UpstreamList> list,
       Map<String, String> regionByDomain,
-      Section<Set<String>> evacuatedDomains,
+      PublishedValue<Set<String>> evacuatedDomains,
       LeavingUpstreams leaving,
       UpstreamBackoffs resting,
       SendPermits warmUps,
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.limit;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.permit.RateLimit;
 import io.mothrill.core.forward.permit.RateLimits;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
@@ -61,7 +61,7 @@
 
   private final Supplier<List<InstanceRecord>> others;
   private final RateLimitReportSender sender;
-  private final Section<UpstreamList> list;
+  private final PublishedValue<UpstreamList> list;
   private final Timers timers;
   private final ReportRateLimiter rate = new ReportRateLimiter(MAX_REPORTS_PER_S);
   private final Map<String, AnnouncedLimit> limits = new ConcurrentHashMap<>();
@@ -89,7 +89,7 @@
   public AnnouncedRateLimits(
       Supplier<List<InstanceRecord>> others,
       RateLimitReportSender reports,
-      Section<UpstreamList> list,
+      PublishedValue<UpstreamList> list,
       Timers timers) {
     this.others = others;
     this.sender = reports;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.spending;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.peer.PeerDispatcher;
@@ -55,7 +55,7 @@
       InstanceRecord self,
       TableService table,
       StoreClock storeClock,
-      Section<ForwardingPlan> plan,
+      PublishedValue<ForwardingPlan> plan,
       SharePolicy policy,
       Timers timers,
       long startedMs,
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.spending;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.error.Failures;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.platform.TableService;
@@ -71,7 +71,7 @@
   private final TableService table;
   private final SpendingReader reader;
   private final SpendingState state;
-  private final Section<ForwardingPlan> plan;
+  private final PublishedValue<ForwardingPlan> plan;
   private final Timers timers;
   private final RandomGenerator random;
   private final Runnable onRenewed;
@@ -96,7 +96,7 @@
       TableService table,
       SpendingReader reader,
       SpendingState state,
-      Section<ForwardingPlan> plan,
+      PublishedValue<ForwardingPlan> plan,
       Timers timers,
       RandomGenerator random,
       Runnable onRenewed) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
@@ -288,7 +288,7 @@
    */
   private void recoverPreviousProcess(SpendingTable.Snapshot newSnapshot) {
     InstanceSpending earlier = newSnapshot.instance(ownKey);
-    InstanceSpending closed = earlier.closedAt(storeClock.latestMs(startedMs));
+    InstanceSpending closed = earlier.closedAt(storeClock.upperBoundMs(startedMs));
     teams.clear();
     closed
         .grants()
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.upstream;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.time.Timers;
 import java.util.Comparator;
 import java.util.List;
@@ -18,7 +18,7 @@
  */
 public final class UpstreamPicker {
 
-  private final Section<UpstreamList> list;
+  private final PublishedValue<UpstreamList> list;
   private final UpstreamLoads loads;
   private final UpstreamCost plainCost;
   private final UpstreamCost promptCost;
@@ -40,7 +40,7 @@
    * @param timers the time
    */
   public UpstreamPicker(
-      Section<UpstreamList> list,
+      PublishedValue<UpstreamList> list,
       UpstreamLoads loads,
       UpstreamCost plainCost,
       UpstreamCost promptCost,
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.upstream;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.ReportRateLimiter;
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.time.Timers;
@@ -43,7 +43,7 @@
   private final InstanceRecord self;
   private final Supplier<List<InstanceRecord>> others;
   private final UpstreamStatusReportSender sender;
-  private final Section<UpstreamList> list;
+  private final PublishedValue<UpstreamList> list;
   private final UpstreamLoads loads;
   private final WarmUpListener warmUps;
   private final LeavingUpstreams leaving;
@@ -69,7 +69,7 @@
       InstanceRecord self,
       Supplier<List<InstanceRecord>> others,
       UpstreamStatusReportSender reports,
-      Section<UpstreamList> list,
+      PublishedValue<UpstreamList> list,
       UpstreamLoads loads,
       WarmUpListener warmUps,
       LeavingUpstreams leaving,
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/view/StatePoller.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/view/StatePoller.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.view;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.error.Failures;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.upstream.StaleRegistrationFilter;
@@ -33,9 +33,9 @@
   private static final int FULL_READ_EVERY = 4;
 
   private final StateSource state;
-  private final Section<ForwardingPlan> plan;
-  private final Section<Set<String>> evacuatedDomains;
-  private final Section<UpstreamList> upstreams;
+  private final PublishedValue<ForwardingPlan> plan;
+  private final PublishedValue<Set<String>> evacuatedDomains;
+  private final PublishedValue<UpstreamList> upstreams;
   private final Timers timers;
   private final ViewSettings settings;
   private final StaleRegistrationFilter staleFilter = new StaleRegistrationFilter();
@@ -61,9 +61,9 @@
    */
   public StatePoller(
       StateSource state,
-      Section<ForwardingPlan> plan,
-      Section<Set<String>> evacuatedDomains,
-      Section<UpstreamList> upstreams,
+      PublishedValue<ForwardingPlan> plan,
+      PublishedValue<Set<String>> evacuatedDomains,
+      PublishedValue<UpstreamList> upstreams,
       Timers timers,
       ViewSettings settings) {
     this.state = state;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.warmup;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.plan.WarmUpPlan;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamList;
@@ -59,8 +59,8 @@
    * @param timers the time
    */
   public WarmingUpstreams(
-      Section<UpstreamList> list,
-      Section<Set<String>> evacuatedDomains,
+      PublishedValue<UpstreamList> list,
+      PublishedValue<Set<String>> evacuatedDomains,
       Function<String, Optional<WarmUpPlan>> plans,
       Timers timers) {
     this.plans = plans;
--- a/mothrill-core/src/main/java/io/mothrill/core/node/Node.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/Node.java
@@ -2,7 +2,7 @@
 
 import com.codahale.metrics.Gauge;
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.BudgetController;
 import io.mothrill.core.budget.Lease;
 import io.mothrill.core.budget.Reclaimer;
@@ -16,7 +16,7 @@
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.MembershipController;
 import io.mothrill.core.platform.InstanceRecord;
-import io.mothrill.core.platform.WallStoreClock;
+import io.mothrill.core.platform.WallClockStoreClock;
 import io.mothrill.core.range.RangeCoordinator;
 import io.mothrill.core.range.RangeRetention;
 import io.mothrill.core.request.CallPlanner;
@@ -60,9 +60,10 @@
   private final NodePorts ports;
   private final NodeSettings settings;
   private final MetricRegistry metrics;
-  private final Section<ConfigSnapshot> config = new Section<>(ConfigSnapshot.empty());
-  private final Section<DrainStage> drainStage = new Section<>(DrainStage.SERVING);
-  private final Section<Membership> members;
+  private final PublishedValue<ConfigSnapshot> config =
+      new PublishedValue<>(ConfigSnapshot.empty());
+  private final PublishedValue<DrainStage> drainStage = new PublishedValue<>(DrainStage.SERVING);
+  private final PublishedValue<Membership> members;
   private final ConfigStore configStore;
   private final MembershipController membership;
   private final Lease lease;
@@ -89,7 +90,7 @@
     this.ports = ports;
     this.settings = settings;
     this.metrics = metrics;
-    this.members = new Section<>(Membership.selfOnly(self));
+    this.members = new PublishedValue<>(Membership.selfOnly(self));
     this.configStore = new ConfigStore(ports.table(), ports.codec(), ports.timers());
     this.membership = newMembership();
     this.lease =
@@ -203,7 +204,7 @@
         () -> members.read().others(),
         ports.crashReports(),
         ports.table(),
-        new WallStoreClock(ports.timers()),
+        new WallClockStoreClock(ports.timers()),
         ports.upstreamEnds(),
         upstreams::isServing,
         ports.timers(),
@@ -279,7 +280,7 @@
    *
    * @return the blackboard's section
    */
-  public Section<ConfigSnapshot> config() {
+  public PublishedValue<ConfigSnapshot> config() {
     return config;
   }
 
@@ -288,7 +289,7 @@
    *
    * @return the blackboard's section
    */
-  public Section<Membership> members() {
+  public PublishedValue<Membership> members() {
     return members;
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.peer;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import java.util.Random;
 
 /**
@@ -14,7 +14,7 @@
 
   private static final int TARGET_POLLERS = 50;
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Random random;
 
   /**
@@ -23,7 +23,7 @@
    * @param members the fleet
    * @param random chooses whose turn it is
    */
-  public FleetPacing(Section<Membership> members, Random random) {
+  public FleetPacing(PublishedValue<Membership> members, Random random) {
     this.members = members;
     this.random = random;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.peer;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.Change;
 import io.mothrill.core.config.ConfigController;
 import io.mothrill.core.config.ConfigSnapshot;
@@ -40,8 +40,8 @@
   private static final int LIST_EVERY_ROUNDS = 2;
   private static final long SECOND_MS = 1_000;
 
-  private final Section<Membership> section;
-  private final Section<ConfigSnapshot> config;
+  private final PublishedValue<Membership> section;
+  private final PublishedValue<ConfigSnapshot> config;
   private final ConfigController configController;
   private final InstanceList list;
   private final PeerLinks links;
@@ -65,8 +65,8 @@
    * @param random chooses whom to ask
    */
   public MembershipController(
-      Section<Membership> section,
-      Section<ConfigSnapshot> config,
+      PublishedValue<Membership> section,
+      PublishedValue<ConfigSnapshot> config,
       ConfigController configController,
       InstanceList list,
       PeerLinks links,
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
@@ -23,5 +23,5 @@
    * @param steadyMs the moment, by this instance's steady clock
    * @return milliseconds by the store's clock, the true ones or more
    */
-  long latestMs(long steadyMs);
+  long upperBoundMs(long steadyMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/Transaction.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/Transaction.java
@@ -69,9 +69,9 @@
    * @return a copy that takes effect only while the row is as it was read
    */
   public Transaction requiring(Row read) {
-    List<Check> longer = new ArrayList<>(checks);
-    longer.add(new Check(read.key(), read.version()));
-    return new Transaction(writes, longer);
+    List<Check> extended = new ArrayList<>(checks);
+    extended.add(new Check(read.key(), read.version()));
+    return new Transaction(writes, extended);
   }
 
   /**
@@ -85,8 +85,8 @@
   }
 
   private Transaction plus(Write write) {
-    List<Write> longer = new ArrayList<>(writes);
-    longer.add(write);
-    return new Transaction(longer, checks);
+    List<Write> extended = new ArrayList<>(writes);
+    extended.add(write);
+    return new Transaction(extended, checks);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/WallStoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
@@ -8,7 +8,7 @@
  * <p>It is only good for times that may be wrong by what wall clocks differ, such as the minutes
  * for which a request is refused; nothing that guards a budget may go by it.
  */
-public final class WallStoreClock implements StoreClock {
+public final class WallClockStoreClock implements StoreClock {
 
   private final Timers timers;
 
@@ -17,7 +17,7 @@
    *
    * @param timers the time
    */
-  public WallStoreClock(Timers timers) {
+  public WallClockStoreClock(Timers timers) {
     this.timers = timers;
   }
 
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public long latestMs(long steadyMs) {
+  public long upperBoundMs(long steadyMs) {
     return timers.wallMs() - timers.nowMs() + steadyMs;
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/OwnedRange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/OwnedRange.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.platform.Row;
 import io.mothrill.core.time.Timers;
@@ -15,7 +15,7 @@
   private final AtomicBoolean paused = new AtomicBoolean();
   private volatile Row row;
 
-  OwnedRange(String name, Row row, Section<Membership> members, Timers timers) {
+  OwnedRange(String name, Row row, PublishedValue<Membership> members, Timers timers) {
     this.name = name;
     this.row = row;
     this.claims = new ClaimRegistry(timers);
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.BudgetTables;
 import io.mothrill.core.budget.Lease;
 import io.mothrill.core.peer.Membership;
@@ -27,7 +27,7 @@
 
   private final TableService table;
   private final Lease lease;
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final Timers timers;
   private final RangeBackup ownBackup;
@@ -35,7 +35,7 @@
   RangeAcquirer(
       TableService table,
       Lease lease,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       Timers timers,
       RangeBackup ownBackup) {
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerMessage;
@@ -23,13 +23,16 @@
  */
 final class RangeBackup {
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Timers timers;
   private final long retentionMs;
   private final Map<String, Replica> ranges = new HashMap<>();
 
   RangeBackup(
-      Section<Membership> members, PeerDispatcher dispatcher, Timers timers, long retentionMs) {
+      PublishedValue<Membership> members,
+      PeerDispatcher dispatcher,
+      Timers timers,
+      long retentionMs) {
     this.members = members;
     this.timers = timers;
     this.retentionMs = retentionMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.Lease;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
@@ -35,7 +35,7 @@
   private static final long MAINTENANCE_INTERVAL_MS = 2_000;
   private static final int MAX_ASKED = 8;
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final RangeBackup backup;
   private final RangeOwner owner;
@@ -57,7 +57,7 @@
   public RangeCoordinator(
       TableService table,
       Lease lease,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       PeerDispatcher dispatcher,
       Timers timers,
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.Lease;
 import io.mothrill.core.error.Failures;
 import io.mothrill.core.peer.Membership;
@@ -34,7 +34,7 @@
 
   private final TableService table;
   private final Lease lease;
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final Timers timers;
   private final RangeAcquirer acquirer;
@@ -49,7 +49,7 @@
   RangeOwner(
       TableService table,
       Lease lease,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       Timers timers,
       RangeAcquirer acquirer,
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.range;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerMessage.ClaimReply;
 import io.mothrill.core.peer.PeerMessage.ClaimRequest;
@@ -24,10 +24,10 @@
   private static final long MAX_RUNNING_MS = 3_600_000;
 
   private final Map<RequestKey, Entry> entries = new ConcurrentHashMap<>();
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final Timers timers;
 
-  RunRegistry(Section<Membership> members, Timers timers) {
+  RunRegistry(PublishedValue<Membership> members, Timers timers) {
     this.members = members;
     this.timers = timers;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/request/AttemptListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/AttemptListener.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public void onPiece(byte[] bytes, Usage used) {
+  public void onChunk(byte[] bytes, Usage used) {
     ifCurrent(() -> exchange.chunk(bytes, used));
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/request/CallPlanner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/CallPlanner.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.request;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.request.error.RefusedException;
 import io.mothrill.core.resource.ServiceSpec;
@@ -13,7 +13,7 @@
 /** Finds out who asks, for what, and what it may cost. */
 public final class CallPlanner {
 
-  private final Section<ConfigSnapshot> config;
+  private final PublishedValue<ConfigSnapshot> config;
   private final Timers timers;
   private final String incarnation;
   private final Supplier<String> ids;
@@ -27,7 +27,10 @@
    * @param ids gives ids that no other call of any instance gives
    */
   public CallPlanner(
-      Section<ConfigSnapshot> config, Timers timers, String incarnation, Supplier<String> ids) {
+      PublishedValue<ConfigSnapshot> config,
+      Timers timers,
+      String incarnation,
+      Supplier<String> ids) {
     this.config = config;
     this.timers = timers;
     this.incarnation = incarnation;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
@@ -279,7 +279,7 @@
       assignment.upstream().avoidUntil(context.timers().nowMs() + context.settings().avoidMs());
     }
     failure
-        .restMs()
+        .retryAfterMs()
         .ifPresent(restMs -> assignment.upstream().backOffUntil(context.timers().nowMs() + restMs));
     mayHaveRun |= !failure.isNotRun();
     if (failure.kind() == Kind.BROKEN) {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.request;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerLinks;
@@ -19,7 +19,7 @@
   private static final long ANSWER_WAIT_MS = 1_000;
   private static final long ANSWER_TIMEOUT_MS = 2_000;
 
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final Timers timers;
   private final Map<RequestKey, Running> running = new ConcurrentHashMap<>();
@@ -33,7 +33,10 @@
    * @param timers the time
    */
   public PendingAnswers(
-      Section<Membership> members, PeerLinks links, PeerDispatcher dispatcher, Timers timers) {
+      PublishedValue<Membership> members,
+      PeerLinks links,
+      PeerDispatcher dispatcher,
+      Timers timers) {
     this.members = members;
     this.links = links;
     this.timers = timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.request;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.AllotmentId;
 import io.mothrill.core.budget.BillForwarder;
 import io.mothrill.core.budget.LedgerEntry;
@@ -47,7 +47,7 @@
 
   private final RangeCoordinator ranges;
   private final PendingAnswers answers;
-  private final Section<Membership> members;
+  private final PublishedValue<Membership> members;
   private final PeerLinks links;
   private final BillForwarder bills;
   private final Timers timers;
@@ -71,7 +71,7 @@
   public RequestRecords(
       RangeCoordinator ranges,
       PendingAnswers answers,
-      Section<Membership> members,
+      PublishedValue<Membership> members,
       PeerLinks links,
       PeerDispatcher dispatcher,
       BillForwarder bills,
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestService.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestService.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.request;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.drain.DrainStage;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -9,7 +9,7 @@
 public final class RequestService {
 
   private final ExchangeContext context;
-  private final Section<DrainStage> drain;
+  private final PublishedValue<DrainStage> drain;
   private final Set<Exchange> inFlight = ConcurrentHashMap.newKeySet();
 
   /**
@@ -18,7 +18,7 @@
    * @param context what requests need
    * @param drain whether new requests are still taken
    */
-  public RequestService(ExchangeContext context, Section<DrainStage> drain) {
+  public RequestService(ExchangeContext context, PublishedValue<DrainStage> drain) {
     this.context = context;
     this.drain = drain;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.routing;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.resource.Resource;
@@ -25,7 +25,7 @@
    *
    * @param config the configuration to follow
    */
-  public UpstreamRegistry(Section<ConfigSnapshot> config) {
+  public UpstreamRegistry(PublishedValue<ConfigSnapshot> config) {
     config.subscribe(this::apply);
     apply(config.read());
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
@@ -7,9 +7,9 @@
  *
  * @param kind what is known about the run
  * @param detail what happened, for the log
- * @param restMs how long the upstream wants no calls of this instance, if it asks for that
+ * @param retryAfterMs how long the upstream wants no calls of this instance, if it asks for that
  */
-public record UpstreamFailure(Kind kind, String detail, OptionalLong restMs) {
+public record UpstreamFailure(Kind kind, String detail, OptionalLong retryAfterMs) {
 
   /**
    * Creates a failure after which the upstream asks for no rest.
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamListener.java
@@ -19,7 +19,7 @@
    * @param bytes the part; not to be changed
    * @param usage what the whole answer has used so far, as far as the upstream tells
    */
-  void onPiece(byte[] bytes, Usage usage);
+  void onChunk(byte[] bytes, Usage usage);
 
   /** The answer is whole. */
   void onEnd();
--- a/mothrill-core/src/main/java/io/mothrill/core/work/AccountedTimers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/MeteredTimers.java
@@ -5,10 +5,10 @@
 import java.util.function.LongSupplier;
 
 /** A timer service whose tasks are counted. */
-public final class AccountedTimers implements Timers {
+public final class MeteredTimers implements Timers {
 
   private final Timers timers;
-  private final WorkAccount work;
+  private final WorkStats work;
   private final LongSupplier nanos;
 
   /**
@@ -18,7 +18,7 @@
    * @param work gets the time that they take
    * @param nanos a steady clock in nanoseconds
    */
-  public AccountedTimers(Timers timers, WorkAccount work, LongSupplier nanos) {
+  public MeteredTimers(Timers timers, WorkStats work, LongSupplier nanos) {
     this.timers = timers;
     this.work = work;
     this.nanos = nanos;
--- a/mothrill-core/src/main/java/io/mothrill/core/work/WorkAccount.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/WorkStats.java
@@ -17,12 +17,12 @@
  * <p>An instance of a large fleet serves few requests, so most of its processor time goes to what
  * it does without them. Only figures of each kind side by side show what that is.
  */
-public final class WorkAccount {
+public final class WorkStats {
 
   private final Map<WorkKind, Counters> counters = new EnumMap<>(WorkKind.class);
 
   /** Creates an account with nothing in it. */
-  public WorkAccount() {
+  public WorkStats() {
     Arrays.stream(WorkKind.values()).forEach(kind -> counters.put(kind, new Counters()));
   }
 
@@ -43,7 +43,7 @@
    * @param receivedBytes bytes that came
    * @param sentBytes bytes that were sent
    */
-  public record Entry(
+  public record Totals(
       long turnCount, long busyNanos, long openedCount, long receivedBytes, long sentBytes) {}
 
   /**
@@ -53,9 +53,9 @@
    * @param busyNanos how long it took
    */
   public void onTurn(WorkKind kind, long busyNanos) {
-    Counters of = counters.get(kind);
-    of.turnCount.increment();
-    of.busyNanos.add(busyNanos);
+    Counters counter = counters.get(kind);
+    counter.turnCount.increment();
+    counter.busyNanos.add(busyNanos);
   }
 
   /**
@@ -93,14 +93,14 @@
    * @param kind the kind
    * @return the sums since the start
    */
-  public Entry of(WorkKind kind) {
-    Counters of = counters.get(kind);
-    return new Entry(
-        of.turnCount.sum(),
-        of.busyNanos.sum(),
-        of.openedCount.sum(),
-        of.receivedBytes.sum(),
-        of.sentBytes.sum());
+  public Totals totals(WorkKind kind) {
+    Counters counter = counters.get(kind);
+    return new Totals(
+        counter.turnCount.sum(),
+        counter.busyNanos.sum(),
+        counter.openedCount.sum(),
+        counter.receivedBytes.sum(),
+        counter.sentBytes.sum());
   }
 
   /**
@@ -108,10 +108,13 @@
    *
    * @return an entry for each kind, in their order
    */
-  public Map<WorkKind, Entry> all() {
+  public Map<WorkKind, Totals> all() {
     return counters.keySet().stream()
         .collect(
             Collectors.toMap(
-                kind -> kind, this::of, (one, other) -> one, () -> new EnumMap<>(WorkKind.class)));
+                kind -> kind,
+                this::totals,
+                (one, other) -> one,
+                () -> new EnumMap<>(WorkKind.class)));
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -15,11 +15,11 @@
   void countsGrantOnceWhenItsAnswerWasLost() {
     // GIVEN
     fixture.pay(100_000);
-    fixture.platformCalls.fail(Fault.ANSWER_LOST);
+    fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     var lost = fixture.account().reserve(100);
     assertThat(lost.isCompletedExceptionally()).isTrue();
     // WHEN
-    fixture.platformCalls.fail(Fault.NONE);
+    fixture.platformCalls.setFault(Fault.NONE);
     Reservation reservation = fixture.account().reserve(100).join();
     // THEN
     long inHandTokens = fixture.account().availableTokens() + reservation.tokens();
@@ -34,11 +34,11 @@
     // GIVEN
     fixture.pay(100_000);
     fixture.account().reserve(100).join().release();
-    fixture.platformCalls.fail(Fault.ANSWER_LOST);
+    fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     // WHEN
     var returned = fixture.budgets.returnAll();
     assertThat(returned.isCompletedExceptionally()).isTrue();
-    fixture.platformCalls.fail(Fault.NONE);
+    fixture.platformCalls.setFault(Fault.NONE);
     Reservation reservation = fixture.account().reserve(100).join();
     // THEN
     long inHandTokens = fixture.account().availableTokens() + reservation.tokens();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -46,7 +46,7 @@
   void isRefusedAsOutOfReachWhenThePlatformIsUnreachable() {
     // GIVEN
     fixture.pay(10_000);
-    fixture.platformCalls.fail(Fault.DOWN);
+    fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
     CompletableFuture<Reservation> refused = fixture.account().reserve(100);
     // THEN
@@ -60,7 +60,7 @@
   void isNotRefusedByRoundThatStartedBeforeIt() {
     // GIVEN
     fixture.pay(10_000);
-    fixture.platformCalls.slowDown(10);
+    fixture.platformCalls.setDelayMs(10);
     CompletableFuture<Reservation> first = fixture.account().reserve(100);
     fixture.timers.advanceMs(5);
     // WHEN
@@ -105,7 +105,7 @@
     // GIVEN
     fixture.pay(1_000);
     final Reservation running = fixture.account().reserve(100).join();
-    fixture.platformCalls.slowDown(10);
+    fixture.platformCalls.setDelayMs(10);
     TokenPool loan = new TokenPool(new AllotmentId("konya-2.1", "branch"), () -> Long.MAX_VALUE);
     loan.put(400);
     // WHEN
@@ -123,7 +123,7 @@
     // GIVEN
     fixture.pay(10_000);
     fixture.account().reserve(100).join().release();
-    fixture.platformCalls.fail(Fault.DOWN);
+    fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
     fixture.timers.advanceMs(530_000);
     boolean before = fixture.account().tryReserve(100).isPresent();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.budget;
 
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.FakeTable;
-import io.mothrill.core.fake.FaultyCalls;
+import io.mothrill.core.fake.FaultInjector;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.peer.Membership;
 import io.mothrill.core.peer.PeerDispatcher;
@@ -22,7 +22,7 @@
 
   final ManualTimers timers = new ManualTimers();
   final FakeTable table = new FakeTable(timers);
-  final FaultyCalls platformCalls = new FaultyCalls(timers);
+  final FaultInjector platformCalls = new FaultInjector(timers);
   final Lease lease;
   final BudgetController budgets;
   private int topUpCount;
@@ -32,12 +32,12 @@
     BudgetSettings settings =
         new BudgetSettings(600_000, 60_000, 60_000, 600_000, 30_000, 4, 1_000, 1_000);
     this.lease =
-        new Lease(table.through(platformCalls), timers, self.incarnation(), 600_000, 60_000);
+        new Lease(table.withFaults(platformCalls), timers, self.incarnation(), 600_000, 60_000);
     this.budgets =
         new BudgetController(
-            table.through(platformCalls),
+            table.withFaults(platformCalls),
             lease,
-            new Section<>(Membership.selfOnly(self)),
+            new PublishedValue<>(Membership.selfOnly(self)),
             (peer, request, timeoutMs) ->
                 CompletableFuture.failedFuture(PeerException.connectionRefused(peer.id())),
             new PeerDispatcher(),
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
@@ -22,7 +22,7 @@
   @Test
   void countsFromWhenTheRenewalWasSent() {
     // GIVEN
-    fixture.platformCalls.slowDown(5_000);
+    fixture.platformCalls.setDelayMs(5_000);
     long sentAtMs = fixture.timers.nowMs();
     // WHEN
     var renewed = fixture.lease.renew();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
@@ -37,10 +37,10 @@
   void writesBatchOnceWhenItsAnswerWasLost() {
     // GIVEN
     final var posted = fixture.budgets.bills().add(granted(), BILL);
-    fixture.platformCalls.fail(Fault.ANSWER_LOST);
+    fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     fixture.timers.advanceMs(1_000);
     // WHEN
-    fixture.platformCalls.fail(Fault.NONE);
+    fixture.platformCalls.setFault(Fault.NONE);
     fixture.timers.advanceMs(2_000);
     // THEN
     assertThat(posted.isDone()).isTrue();
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
@@ -83,11 +83,11 @@
   void acceptsChangeOnceWhenItsAnswerWasLost() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
-    table.faults().fail(Fault.ANSWER_LOST);
+    table.faults().setFault(Fault.ANSWER_LOST);
     var lost = apply("b", budget(new TopUp("t1", 500)), -1, "c2");
     assertThat(lost.isCompletedExceptionally()).isTrue();
     // WHEN
-    table.faults().fail(Fault.NONE);
+    table.faults().setFault(Fault.NONE);
     Change again = apply("b", budget(new TopUp("t1", 500)), -1, "c2").join();
     // THEN
     assertThat(again.revision()).isEqualTo(team.revision() + 1);
--- a/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
@@ -2,14 +2,14 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import org.junit.jupiter.api.Test;
 
 class DrainControllerTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final Section<DrainStage> stage = new Section<>(DrainStage.SERVING);
+  private final PublishedValue<DrainStage> stage = new PublishedValue<>(DrainStage.SERVING);
   private final Work work = new Work();
   private final DrainController drain =
       new DrainController(stage, timers, new DrainSettings(3_000, 60_000, 10_000), work);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.limit.AnnouncedRateLimits;
 import io.mothrill.core.forward.permit.FleetView;
@@ -36,8 +36,8 @@
   private static final Optional<WarmUpPlan> PLAN = Optional.of(new WarmUpPlan(3_000, 2));
 
   private final ManualTimers timers = new ManualTimers();
-  private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
-  private final Section<Set<String>> evacuated = new Section<>(Set.of());
+  private final PublishedValue<UpstreamList> list = new PublishedValue<>(UpstreamList.empty());
+  private final PublishedValue<Set<String>> evacuated = new PublishedValue<>(Set.of());
   private final InstanceRecord self = new InstanceRecord("e-1", "e-1.a", "konya", "::1", 1, false);
   private final WarmingUpstreams warming =
       new WarmingUpstreams(list, evacuated, service -> PLAN, timers);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.request.Fingerprint;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.forward.upstream.UpstreamList;
@@ -115,8 +115,8 @@
     assertThat(blind.crashCount(CrashSimulation.REQUEST)).isEqualTo(0);
   }
 
-  private static Section<UpstreamList> listOfAll() {
-    return new Section<>(
+  private static PublishedValue<UpstreamList> listOfAll() {
+    return new PublishedValue<>(
         new UpstreamList(IntStream.range(0, 9).mapToObj(CrashSimulation::upstream).toList()));
   }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.crash;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.request.Fingerprint;
@@ -39,7 +39,7 @@
   final StoreClock storeClock = new SteadyStoreClock(timers);
   private final Map<String, Object> processes = new HashMap<>();
   private final Set<String> cutOff = new HashSet<>();
-  private final Section<UpstreamList> upstreams = new Section<>(UpstreamList.empty());
+  private final PublishedValue<UpstreamList> upstreams = new PublishedValue<>(UpstreamList.empty());
   private final SplittableRandom random;
   private final double lossShare;
   private boolean upstreamsEnd = true;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
@@ -47,9 +47,9 @@
   @Test
   void writesOnceTheStoreIsBack() {
     world.timers.advanceMs(2_000);
-    world.table.faults().fail(Fault.DOWN);
+    world.table.faults().setFault(Fault.DOWN);
     crashThree();
-    world.table.faults().fail(Fault.NONE);
+    world.table.faults().setFault(Fault.NONE);
     world.timers.advanceMs(1_000);
     replaceAll();
 
@@ -62,12 +62,12 @@
   @Test
   void readsOnceTheStoreIsBack() {
     crashThree();
-    world.table.faults().fail(Fault.DOWN);
+    world.table.faults().setFault(Fault.DOWN);
     replaceAll();
     world.timers.advanceMs(2_000);
     assertThat(world.refusingCount()).isEqualTo(0);
 
-    world.table.faults().fail(Fault.NONE);
+    world.table.faults().setFault(Fault.NONE);
     world.timers.advanceMs(1_000);
 
     assertThat(world.refusingCount()).isEqualTo(INSTANCES);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/SteadyStoreClock.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/SteadyStoreClock.java
@@ -14,7 +14,7 @@
   }
 
   @Override
-  public long latestMs(long steadyMs) {
+  public long upperBoundMs(long steadyMs) {
     return steadyMs + ORIGIN_MS;
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.permit.RateLimit;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
@@ -18,7 +18,8 @@
 
   private final ManualTimers timers = new ManualTimers();
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "konya", 1);
-  private final Section<UpstreamList> list = new Section<>(new UpstreamList(List.of(upstream)));
+  private final PublishedValue<UpstreamList> list =
+      new PublishedValue<>(new UpstreamList(List.of(upstream)));
   private final List<RateLimitReport> told = new ArrayList<>();
   private final AnnouncedRateLimits limits =
       new AnnouncedRateLimits(List::of, (report, to) -> told.add(report), list, timers);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.limit;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.permit.SendPermits;
 import io.mothrill.core.forward.permit.SimulatedFleet;
@@ -101,7 +101,7 @@
           new AnnouncedRateLimits(
               member::others,
               (report, to) -> deliver(this, report, to),
-              new Section<>(new UpstreamList(List.of(upstream))),
+              new PublishedValue<>(new UpstreamList(List.of(upstream))),
               timers);
       this.permits = new SendPermits(member.self(), member, limits, timers);
     }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.spending;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.AllowedRegions;
@@ -39,7 +39,7 @@
 
   final ManualTimers timers = new ManualTimers();
   final FakeTable table = new FakeTable(timers);
-  final Section<ForwardingPlan> plan = new Section<>(ForwardingPlan.unknown());
+  final PublishedValue<ForwardingPlan> plan = new PublishedValue<>(ForwardingPlan.unknown());
   final Random random;
   private final Map<String, SimulatedInstance> instances = new HashMap<>();
   private final List<String> teams;
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public long latestMs(long steadyMs) {
+    public long upperBoundMs(long steadyMs) {
       return steadyMs;
     }
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.forward.request.Prompt;
@@ -28,7 +28,7 @@
   private final UpstreamLoads loads = new UpstreamLoads();
   private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
   private final PrefillSpeed speed = new PrefillSpeed();
-  private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
+  private final PublishedValue<UpstreamList> list = new PublishedValue<>(UpstreamList.empty());
   private final UpstreamPicker picker =
       new UpstreamPicker(
           list,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.platform.InstanceRecord;
@@ -36,8 +36,8 @@
   private final ManualTimers timers = new ManualTimers();
   private final Random random = new Random(7);
   private final List<Instance> instances = new ArrayList<>();
-  private final Section<UpstreamList> list =
-      new Section<>(
+  private final PublishedValue<UpstreamList> list =
+      new PublishedValue<>(
           new UpstreamList(
               IntStream.range(0, UPSTREAMS)
                   .mapToObj(UpstreamStatusBroadcastTest::upstream)
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.CallerBounds;
 import io.mothrill.core.forward.plan.ForwardingPlan;
@@ -35,9 +35,10 @@
           RegistrationVersion.UNKNOWN);
 
   private final ManualTimers timers = new ManualTimers();
-  private final Section<ForwardingPlan> plan = new Section<>(ForwardingPlan.unknown());
-  private final Section<UpstreamList> upstreams = new Section<>(UpstreamList.empty());
-  private final Section<Set<String>> evacuatedDomains = new Section<>(Set.of());
+  private final PublishedValue<ForwardingPlan> plan =
+      new PublishedValue<>(ForwardingPlan.unknown());
+  private final PublishedValue<UpstreamList> upstreams = new PublishedValue<>(UpstreamList.empty());
+  private final PublishedValue<Set<String>> evacuatedDomains = new PublishedValue<>(Set.of());
   private final Store store = new Store();
 
   private static ForwardingPlan version(long number) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.warmup;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.permit.SendPermits;
 import io.mothrill.core.forward.permit.SimulatedFleet;
@@ -88,14 +88,15 @@
   static final class Instance {
 
     private final SimulatedFleet.Member member;
-    private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
+    private final PublishedValue<UpstreamList> list = new PublishedValue<>(UpstreamList.empty());
     private final WarmingUpstreams warming;
     private final SendPermits permits;
 
     private Instance(SimulatedFleet.Member member, Timers timers) {
       this.member = member;
       this.warming =
-          new WarmingUpstreams(list, new Section<>(Set.of()), service -> Optional.of(PLAN), timers);
+          new WarmingUpstreams(
+              list, new PublishedValue<>(Set.of()), service -> Optional.of(PLAN), timers);
       this.permits =
           new SendPermits(
               member.self(),
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.plan.WarmUpPlan;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
@@ -19,8 +19,8 @@
   private static final WarmUpPlan PLAN = new WarmUpPlan(3_000, 8.7);
 
   private final ManualTimers timers = new ManualTimers();
-  private final Section<UpstreamList> list = new Section<>(UpstreamList.empty());
-  private final Section<Set<String>> evacuated = new Section<>(Set.of());
+  private final PublishedValue<UpstreamList> list = new PublishedValue<>(UpstreamList.empty());
+  private final PublishedValue<Set<String>> evacuated = new PublishedValue<>(Set.of());
   private final WarmingUpstreams warming =
       new WarmingUpstreams(list, evacuated, service -> Optional.of(PLAN), timers);
 
--- a/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.truth.Truth.assertThat;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.budget.Lease;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
@@ -30,7 +30,8 @@
 
   private final ManualTimers timers = new ManualTimers();
   private final FakeTable table = new FakeTable(timers);
-  private final Section<Membership> members = new Section<>(Membership.selfOnly(SELF));
+  private final PublishedValue<Membership> members =
+      new PublishedValue<>(Membership.selfOnly(SELF));
   private CompletableFuture<PeerMessage> peerReply =
       CompletableFuture.completedFuture(new PeerMessage.Done());
   private final PeerLinks links = (peer, request, timeoutMs) -> peerReply;
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.resource.Priority;
@@ -21,7 +21,8 @@
 class ServiceQueueTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final Section<ConfigSnapshot> config = new Section<>(ConfigSnapshot.empty());
+  private final PublishedValue<ConfigSnapshot> config =
+      new PublishedValue<>(ConfigSnapshot.empty());
   private final List<String> order = new ArrayList<>();
   private final Router router =
       new Router(
--- a/mothrill-core/src/test/java/io/mothrill/core/work/WorkAccountTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/work/WorkAccountTest.java
@@ -8,7 +8,7 @@
 
 final class WorkAccountTest {
 
-  private final WorkAccount work = new WorkAccount();
+  private final WorkStats work = new WorkStats();
 
   @Test
   void keepsKindsApart() {
@@ -18,11 +18,11 @@
     work.onOpened(WorkKind.PEER);
     work.onReceived(WorkKind.PEER, 40);
     // WHEN
-    WorkAccount.Entry store = work.of(WorkKind.STORE);
-    WorkAccount.Entry peer = work.of(WorkKind.PEER);
+    WorkStats.Totals store = work.totals(WorkKind.STORE);
+    WorkStats.Totals peer = work.totals(WorkKind.PEER);
     // THEN
-    assertThat(store).isEqualTo(new WorkAccount.Entry(2, 1_000, 0, 0, 0));
-    assertThat(peer).isEqualTo(new WorkAccount.Entry(0, 0, 1, 40, 0));
+    assertThat(store).isEqualTo(new WorkStats.Totals(2, 1_000, 0, 0, 0));
+    assertThat(peer).isEqualTo(new WorkStats.Totals(0, 0, 1, 40, 0));
     assertThat(work.all()).containsEntry(WorkKind.STORE, store);
   }
 
@@ -31,7 +31,7 @@
     // GIVEN
     ManualTimers timers = new ManualTimers();
     AtomicLong nanos = new AtomicLong();
-    AccountedTimers accounted = new AccountedTimers(timers, work, nanos::get);
+    MeteredTimers accounted = new MeteredTimers(timers, work, nanos::get);
     accounted.every(100, () -> nanos.addAndGet(50));
     accounted.after(
         150,
@@ -42,7 +42,7 @@
     // WHEN
     advanceThroughFailure(timers, 200);
     // THEN
-    assertThat(work.of(WorkKind.TIMER).busyNanos()).isAtLeast(57);
+    assertThat(work.totals(WorkKind.TIMER).busyNanos()).isAtLeast(57);
   }
 
   private static void advanceThroughFailure(ManualTimers timers, long byMs) {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
@@ -8,9 +8,9 @@
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.platform.TableService;
 import io.mothrill.core.time.Timers;
-import io.mothrill.core.work.WorkAccount;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.daemon.settings.InstanceSettings;
-import io.mothrill.wire.caller.CallerEdge;
+import io.mothrill.wire.caller.CallerServer;
 import io.mothrill.wire.forward.UpstreamProbe;
 import io.mothrill.wire.http.HttpClient;
 import io.mothrill.wire.http.HttpServer;
@@ -55,7 +55,7 @@
   private final NettyPeers peers;
   private volatile DatagramNotices notices;
   private final Node node;
-  private final CallerEdge callerEdge;
+  private final CallerServer callerEdge;
   private final HttpServer operatorServer;
   private final HttpServer opsServer;
 
@@ -65,7 +65,7 @@
             0, new DefaultThreadFactory(settings.id()), NioIoHandler.newFactory());
     Timers timers = new NettyTimers(group);
     HttpClient http = new HttpClient(group);
-    timers.every(STALE_CHECK_MS, http::closeStale);
+    timers.every(STALE_CHECK_MS, http::closeIdleConnections);
     TableService table =
         new HttpTableService(http, settings.platform(), settings.platformTimeoutMs());
     PeerDispatcher dispatcher = new PeerDispatcher();
@@ -91,9 +91,9 @@
             peers.port(),
             () -> node.members().read().others(),
             NoticeListeners.ofCrashes(node.crashes()::onMessage),
-            new WorkAccount());
+            new WorkStats());
     this.callerEdge =
-        new CallerEdge(
+        new CallerServer(
             group,
             settings.host(),
             settings.ports().caller(),
@@ -127,7 +127,7 @@
         dispatcher,
         settings.host(),
         settings.ports().peer(),
-        new WorkAccount());
+        new WorkStats());
   }
 
   private InstanceRecord recordOf(InstanceSettings settings, NodePorts ports) {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/AuditCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/AuditCommand.java
@@ -52,7 +52,7 @@
                         + sums.allottedTokens()
                         + " billed="
                         + sums.billedTokens()));
-    System.out.println("requests billed: " + report.requests());
+    System.out.println("requests billed: " + report.billedRequestCount());
     report.findings().forEach(finding -> System.out.println("FINDING " + finding));
     System.out.println(report.isClean() ? "the books are right" : "the books are wrong");
   }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/ExplainCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/ExplainCommand.java
@@ -25,13 +25,13 @@
 
   @Override
   public int run() throws IOException {
-    LogBook book = LogBook.read(logs.stream().map(Path::of).toList());
-    if (book.unreadableCount() > 0) {
-      System.out.println(book.unreadableCount() + " lines are not mothrill's and were passed over");
+    MergedLog log = MergedLog.read(logs.stream().map(Path::of).toList());
+    if (log.unreadableCount() > 0) {
+      System.out.println(log.unreadableCount() + " lines are not mothrill's and were passed over");
     }
-    List<String> story = new Explanation(book).of(requestId);
-    story.forEach(System.out::println);
-    if (story.isEmpty()) {
+    List<String> explanation = new Explanation(log).explain(requestId);
+    explanation.forEach(System.out::println);
+    if (explanation.isEmpty()) {
       System.out.println(
           "no line is about "
               + requestId
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
@@ -13,23 +13,23 @@
   /** Changes of the plan so short before a request may have decided about it. */
   private static final Duration RECENT = Duration.ofSeconds(5);
 
-  private final LogBook book;
+  private final MergedLog log;
 
-  Explanation(LogBook book) {
-    this.book = book;
+  Explanation(MergedLog book) {
+    this.log = book;
   }
 
   /** Tells all that is known of a request; empty when no line is about it. */
-  List<String> of(String requestId) {
-    return book.lines().stream()
+  List<String> explain(String requestId) {
+    return log.lines().stream()
         .filter(line -> line.isRequest(requestId))
-        .flatMap(this::tell)
+        .flatMap(this::describe)
         .toList();
   }
 
-  private Stream<String> tell(LogLine line) {
-    List<String> told = new ArrayList<>();
-    told.add(
+  private Stream<String> describe(LogLine line) {
+    List<String> lines = new ArrayList<>();
+    lines.add(
         "%s at %s: %s, status %d after %d ms"
             .formatted(
                 line.text("id"),
@@ -37,7 +37,7 @@
                 line.text("outcome"),
                 line.number("status"),
                 line.number("tookMs")));
-    told.add(
+    lines.add(
         "  route %s, team %s, plan %d; hoped for within %d ms, first byte after %d ms"
             .formatted(
                 line.text("route"),
@@ -45,15 +45,15 @@
                 line.number("plan"),
                 line.number("aimMs"),
                 line.number("firstMs")));
-    told.add("  waited " + line.number("paidMs") + " ms for tokens");
-    offers(line).forEach(offer -> told.add("  offered to " + offer));
-    told.add("  cause: " + Cause.of(line.text("outcome")));
+    lines.add("  waited " + line.number("paidMs") + " ms for tokens");
+    offers(line).forEach(offer -> lines.add("  offered to " + offer));
+    lines.add("  cause: " + OutcomeMeaning.of(line.text("outcome")));
     if (!line.text("reason").isEmpty()) {
-      told.add("  reason given: " + line.text("reason"));
+      lines.add("  reason given: " + line.text("reason"));
     }
-    crashes(line).forEach(told::add);
-    surroundings(line).forEach(told::add);
-    return told.stream();
+    crashes(line).forEach(lines::add);
+    instanceContext(line).forEach(lines::add);
+    return lines.stream();
   }
 
   private static Stream<String> offers(LogLine line) {
@@ -69,7 +69,7 @@
     }
     return Stream.concat(
         Stream.of("  fingerprint " + fingerprint + ", the same for each repeat"),
-        book.lines().stream()
+        log.lines().stream()
             .filter(other -> other.isAboutCrashes(fingerprint))
             .map(
                 other ->
@@ -77,7 +77,7 @@
   }
 
   /** What its instance was going through meanwhile. */
-  private Stream<String> surroundings(LogLine line) {
+  private Stream<String> instanceContext(LogLine line) {
     Instant arrived = line.at().minusMillis(line.number("tookMs"));
     return Stream.of(
             storeState(line),
@@ -89,26 +89,26 @@
   }
 
   private Optional<String> storeState(LogLine line) {
-    return book.before(line)
-        .filter(other -> other.says("store "))
+    return log.before(line)
+        .filter(other -> other.messageStartsWith("store "))
         .findFirst()
-        .filter(other -> other.says("store lost"))
+        .filter(other -> other.messageStartsWith("store lost"))
         .map(other -> "  meanwhile: out of reach of the store " + since(other, line));
   }
 
   private Optional<String> recent(LogLine line, Instant arrived, String beginning) {
-    return book.before(line)
-        .filter(other -> other.says(beginning))
+    return log.before(line)
+        .filter(other -> other.messageStartsWith(beginning))
         .findFirst()
         .filter(other -> other.at().isAfter(arrived.minus(RECENT)))
         .map(other -> "  meanwhile: " + other.text("message") + " " + since(other, line));
   }
 
   private Optional<String> leaving(LogLine line) {
-    return book.before(line)
-        .filter(other -> other.says("leaving") || other.isEvent("started"))
+    return log.before(line)
+        .filter(other -> other.messageStartsWith("leaving") || other.isEvent("started"))
         .findFirst()
-        .filter(other -> other.says("leaving"))
+        .filter(other -> other.messageStartsWith("leaving"))
         .map(other -> "  meanwhile: the instance was leaving " + since(other, line));
   }
 
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
@@ -37,13 +37,13 @@
   /** Says whether the line is about upstreams that ended under a request with this fingerprint. */
   boolean isAboutCrashes(String fingerprint) {
     boolean crash =
-        says("upstream ended under request")
-            || says("request refused from now on")
-            || says("request served again");
+        messageStartsWith("upstream ended under request")
+            || messageStartsWith("request refused from now on")
+            || messageStartsWith("request served again");
     return crash && text("message").contains("fingerprint=" + fingerprint);
   }
 
-  boolean says(String beginning) {
+  boolean messageStartsWith(String beginning) {
     return text("message").startsWith(beginning);
   }
 
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogBook.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/MergedLog.java
@@ -14,10 +14,10 @@
  * @param lines the lines that could be read
  * @param unreadableCount the lines that could not
  */
-record LogBook(List<LogLine> lines, long unreadableCount) {
+record MergedLog(List<LogLine> lines, long unreadableCount) {
 
   /** Reads whole files, each the log of one instance. */
-  static LogBook read(List<Path> files) throws IOException {
+  static MergedLog read(List<Path> files) throws IOException {
     List<LogLine> lines = new ArrayList<>();
     long unreadable = 0;
     for (Path file : files) {
@@ -28,7 +28,7 @@
       }
     }
     lines.sort(Comparator.comparing(LogLine::at));
-    return new LogBook(List.copyOf(lines), unreadable);
+    return new MergedLog(List.copyOf(lines), unreadable);
   }
 
   /** Gives what the instance that wrote a line had written up to then, newest first. */
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Cause.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/OutcomeMeaning.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /** What an outcome in the log means to somebody who answers a caller's question. */
-final class Cause {
+final class OutcomeMeaning {
 
   private static final Map<String, String> MEANINGS =
       Map.ofEntries(
@@ -42,7 +42,7 @@
           Map.entry("no_route", "no route of the plan in force has its host and path"),
           Map.entry("unknown_key", "no team of the plan in force holds its key"));
 
-  private Cause() {}
+  private OutcomeMeaning() {}
 
   static String of(String outcome) {
     return MEANINGS.getOrDefault(outcome, MEANINGS.getOrDefault(withoutLate(outcome), outcome));
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
@@ -1,15 +1,15 @@
 package io.mothrill.daemon.forward;
 
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.crash.CrashGuard;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.forward.spending.SpendingController;
 import io.mothrill.core.forward.upstream.UpstreamList;
 import io.mothrill.core.forward.view.StatePoller;
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.daemon.log.JsonLinesWriter;
 import io.mothrill.wire.forward.ForwardServer;
 import java.util.Arrays;
@@ -27,7 +27,9 @@
   }
 
   void showView(
-      Section<ForwardingPlan> plan, Section<UpstreamList> upstreams, StatePoller follower) {
+      PublishedValue<ForwardingPlan> plan,
+      PublishedValue<UpstreamList> upstreams,
+      StatePoller follower) {
     metrics.gauge("view.planVersion", () -> () -> plan.read().version());
     metrics.gauge("view.planAgeMs", () -> follower::planAgeMs);
     metrics.gauge("view.upstreamCount", () -> () -> upstreams.read().all().size());
@@ -40,7 +42,7 @@
   }
 
   /** Shows what is held of each team's budget, also of teams that come later. */
-  void showSpending(Section<ForwardingPlan> plan, SpendingController spending) {
+  void showSpending(PublishedValue<ForwardingPlan> plan, SpendingController spending) {
     metrics.gauge("spending.instanceCount", () -> spending::instanceCount);
     metrics.gauge("spending.renewalAgeMs", () -> spending::renewalAgeMs);
     metrics.gauge("spending.lostTokens", () -> spending::lostTokens);
@@ -54,7 +56,8 @@
                 .forEach(team -> showTeam(team, plan, spending)));
   }
 
-  private void showTeam(TeamPlan team, Section<ForwardingPlan> plan, SpendingController spending) {
+  private void showTeam(
+      TeamPlan team, PublishedValue<ForwardingPlan> plan, SpendingController spending) {
     String name = team.name();
     metrics.gauge("spending.heldTokens." + name, () -> () -> spending.heldTokens(name));
     metrics.gauge(
@@ -63,7 +66,7 @@
   }
 
   /** Shows which upstreams get little or nothing, and what instances tell each other of them. */
-  void showUpstreams(Section<Set<String>> evacuatedDomains, UpstreamChoice choice) {
+  void showUpstreams(PublishedValue<Set<String>> evacuatedDomains, UpstreamSelection choice) {
     metrics.gauge("upstreams.evacuatedDomainCount", () -> () -> evacuatedDomains.read().size());
     metrics.gauge("upstreams.warmingCount", () -> choice.warming()::warmingCount);
     metrics.gauge("upstreams.limitedCount", () -> choice.limits()::limitedCount);
@@ -72,8 +75,8 @@
     metrics.gauge("upstreams.saidLeavingSentCount", () -> choice.leaving()::sentCount);
     metrics.gauge("upstreams.restingCount", () -> choice.resting()::backoffCount);
     metrics.gauge("upstreams.restingSentCount", () -> choice.resting()::sentCount);
-    metrics.gauge("upstreams.reportsSentCount", () -> choice.news()::sentCount);
-    metrics.gauge("upstreams.reportsHeardCount", () -> choice.news()::receivedCount);
+    metrics.gauge("upstreams.reportsSentCount", () -> choice.statusBroadcast()::sentCount);
+    metrics.gauge("upstreams.reportsHeardCount", () -> choice.statusBroadcast()::receivedCount);
   }
 
   /** Shows how many requests are under suspicion, and what is told of them. */
@@ -86,17 +89,17 @@
   }
 
   /** Shows what the event loops were busy with, and the processor time of the threads. */
-  void showWork(WorkAccount work) {
+  void showWork(WorkStats work) {
     Arrays.stream(WorkKind.values()).forEach(kind -> showWork("work." + kind, kind, work));
-    metrics.gauge("work.threadCpuMs", () -> ThreadTimes::totalCpuMs);
+    metrics.gauge("work.threadCpuMs", () -> ThreadCpuTime::totalCpuMs);
   }
 
-  private void showWork(String name, WorkKind kind, WorkAccount work) {
-    metrics.gauge(name + ".turnCount", () -> () -> work.of(kind).turnCount());
-    metrics.gauge(name + ".busyMs", () -> () -> work.of(kind).busyNanos() / NANOS_PER_MS);
-    metrics.gauge(name + ".openedCount", () -> () -> work.of(kind).openedCount());
-    metrics.gauge(name + ".receivedBytes", () -> () -> work.of(kind).receivedBytes());
-    metrics.gauge(name + ".sentBytes", () -> () -> work.of(kind).sentBytes());
+  private void showWork(String name, WorkKind kind, WorkStats work) {
+    metrics.gauge(name + ".turnCount", () -> () -> work.totals(kind).turnCount());
+    metrics.gauge(name + ".busyMs", () -> () -> work.totals(kind).busyNanos() / NANOS_PER_MS);
+    metrics.gauge(name + ".openedCount", () -> () -> work.totals(kind).openedCount());
+    metrics.gauge(name + ".receivedBytes", () -> () -> work.totals(kind).receivedBytes());
+    metrics.gauge(name + ".sentBytes", () -> () -> work.totals(kind).sentBytes());
   }
 
   void showLog() {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -1,7 +1,7 @@
 package io.mothrill.daemon.forward;
 
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.crash.CrashGuard;
 import io.mothrill.core.forward.crash.CrashMessage;
 import io.mothrill.core.forward.limit.RateLimitReport;
@@ -19,7 +19,7 @@
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.core.time.Subscription;
 import io.mothrill.core.time.Timers;
-import io.mothrill.core.work.WorkAccount;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.wire.forward.ForwardDependencies;
 import io.mothrill.wire.forward.ForwardServer;
 import io.mothrill.wire.forward.UpstreamProbe;
@@ -51,7 +51,7 @@
 public final class ForwardInstance {
 
   /** Callers are sent elsewhere after two questions without a yes, which come every second. */
-  private static final long LEAVE_LEAST_MS = 2_600;
+  private static final long MIN_DRAIN_MS = 2_600;
 
   private static final long LEAVE_CHECK_MS = 100;
 
@@ -59,19 +59,20 @@
    * Upstreams that had requests under way when they left the list are forgotten after those; a
    * request lasts seconds, and each of them takes some hundred bytes meanwhile.
    */
-  private static final long FORGET_MS = 10_000;
+  private static final long PRUNE_INTERVAL_MS = 10_000;
 
   /** A few hundred bytes now and then: enough to see in a log what an instance was busy with. */
-  private static final long WORK_LINE_MS = 10_000;
+  private static final long WORK_LOG_INTERVAL_MS = 10_000;
 
   /** Time for the last row, after the last request. */
-  private static final long HAND_BACK_MS = 300;
+  private static final long HAND_BACK_TIMEOUT_MS = 300;
 
   private final ForwardSettings settings;
   private final Timers timers;
-  private final Section<ForwardingPlan> plan = new Section<>(ForwardingPlan.unknown());
-  private final Section<Set<String>> evacuatedDomains = new Section<>(Set.of());
-  private final Section<UpstreamList> upstreams = new Section<>(UpstreamList.empty());
+  private final PublishedValue<ForwardingPlan> plan =
+      new PublishedValue<>(ForwardingPlan.unknown());
+  private final PublishedValue<Set<String>> evacuatedDomains = new PublishedValue<>(Set.of());
+  private final PublishedValue<UpstreamList> upstreams = new PublishedValue<>(UpstreamList.empty());
   private final MetricRegistry metrics = new MetricRegistry();
   private final NettyPeers peers;
   private final DatagramNotices notices;
@@ -80,7 +81,7 @@
   private final ForwardServer edge;
   private final HttpServer probeServer;
   private final HttpServer metricsServer;
-  private final CompletableFuture<Void> left = new CompletableFuture<>();
+  private final CompletableFuture<Void> drainFuture = new CompletableFuture<>();
   private volatile boolean leaving;
 
   /**
@@ -123,12 +124,12 @@
         PeerMessage.Heartbeat.class,
         heartbeat -> CompletableFuture.completedFuture(new PeerMessage.Done()));
     DomainReachability reach = new DomainReachability(self, spending::peers, peers, timers);
-    UpstreamChoice choice =
-        new UpstreamChoice(
+    UpstreamSelection choice =
+        new UpstreamSelection(
             self,
             settings,
-            new UpstreamChoice.View(plan, evacuatedDomains, upstreams),
-            fleet(),
+            new UpstreamSelection.View(plan, evacuatedDomains, upstreams),
+            fleetView(),
             this::sendFate,
             this::sendLimit,
             reach::isReachable,
@@ -141,7 +142,7 @@
             this::sendReport,
             ports.table(),
             ports.storeClock(),
-            choice.noting(new UpstreamProbe(group, timers)),
+            choice.reportingEnds(new UpstreamProbe(group, timers)),
             upstream -> upstreams.read().isAccepting(upstream),
             timers,
             random);
@@ -158,14 +159,14 @@
                   }
                 },
                 crashes::onMessage,
-                choice.news()::onReport,
+                choice.statusBroadcast()::onReport,
                 choice.limits()::onReport,
                 reach::onMessageFromHost),
             ports.work());
     ForwardDependencies parts =
         new ForwardDependencies(
             ports.dialect(),
-            readiness.known(),
+            readiness.initialState(),
             plan,
             choice.checks(),
             choice.picker(),
@@ -175,15 +176,15 @@
             notices,
             spending,
             new SharedRetryBudget(settings.retries(), spending::instanceCount, timers),
-            new StoryLog(metrics, timers),
+            new RequestLog(metrics, timers),
             crashes,
-            choice.news(),
-            choice.answers(),
+            choice.statusBroadcast(),
+            choice.selfReports(),
             reach::onMessageFromDomain,
             timers,
             ports.work(),
             random);
-    this.edge = new ForwardServer(group, parts, ports.callers(), settings.keptBytes());
+    this.edge = new ForwardServer(group, parts, ports.callers(), settings.maxBufferedBytes());
     this.probeServer =
         HttpServer.ofService(
             group,
@@ -203,14 +204,14 @@
     gauges.showUpstreams(evacuatedDomains, choice);
     gauges.showLog();
     gauges.showWork(ports.work());
-    timers.every(FORGET_MS, () -> choice.loads().retain(upstreams.read()));
-    timers.every(WORK_LINE_MS, () -> WorkLine.write(ports.work()));
+    timers.every(PRUNE_INTERVAL_MS, () -> choice.loads().retain(upstreams.read()));
+    timers.every(WORK_LOG_INTERVAL_MS, () -> WorkLog.write(ports.work()));
     StatePoller follower =
         new StatePoller(ports.state(), plan, evacuatedDomains, upstreams, timers, settings.view());
     gauges.showView(plan, upstreams, follower);
   }
 
-  private FleetView fleet() {
+  private FleetView fleetView() {
     return new FleetView() {
       @Override
       public List<InstanceRecord> others() {
@@ -237,7 +238,7 @@
   }
 
   private static NettyPeers newPeers(
-      ForwardSettings settings, PeerDispatcher dispatcher, EventLoopGroup group, WorkAccount work) {
+      ForwardSettings settings, PeerDispatcher dispatcher, EventLoopGroup group, WorkStats work) {
     JsonResources codec = new JsonResources();
     return new NettyPeers(
         group,
@@ -250,7 +251,7 @@
   }
 
   private String unreadyReason() {
-    return leaving ? "leaving" : readiness.missing();
+    return leaving ? "leaving" : readiness.unreadyReason();
   }
 
   /**
@@ -269,24 +270,24 @@
       edge.startDraining();
       long beganMs = timers.nowMs();
       Subscription[] check = new Subscription[1];
-      check[0] = timers.every(LEAVE_CHECK_MS, () -> checkLeft(beganMs, check[0]));
+      check[0] = timers.every(LEAVE_CHECK_MS, () -> checkDrained(beganMs, check[0]));
     }
-    return left;
+    return drainFuture;
   }
 
-  private void checkLeft(long beganMs, Subscription check) {
+  private void checkDrained(long beganMs, Subscription check) {
     long sinceMs = timers.nowMs() - beganMs;
-    if (sinceMs >= LEAVE_LEAST_MS) {
+    if (sinceMs >= MIN_DRAIN_MS) {
       edge.refuseNew();
     }
-    boolean idle = sinceMs >= LEAVE_LEAST_MS && edge.inFlightCount() == 0;
+    boolean idle = sinceMs >= MIN_DRAIN_MS && edge.inFlightCount() == 0;
     if (sinceMs < settings.leaveMs() && !idle) {
       return;
     }
     check.cancel();
     Logger.info("left underWay={} tookMs={}", edge.inFlightCount(), sinceMs);
-    timers.after(HAND_BACK_MS, () -> left.complete(null));
-    spending.returnUnspentTokens().thenRun(() -> left.complete(null));
+    timers.after(HAND_BACK_TIMEOUT_MS, () -> drainFuture.complete(null));
+    spending.returnUnspentTokens().thenRun(() -> drainFuture.complete(null));
   }
 
   /**
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
@@ -3,7 +3,7 @@
 import io.mothrill.core.forward.view.StateSource;
 import io.mothrill.core.platform.StoreClock;
 import io.mothrill.core.platform.TableService;
-import io.mothrill.core.work.WorkAccount;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.wire.forward.CallerListener;
 import io.mothrill.wire.forward.Dialect;
 
@@ -24,5 +24,5 @@
     StateSource state,
     Dialect dialect,
     CallerListener callers,
-    WorkAccount work,
+    WorkStats work,
     long startedMs) {}
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
@@ -18,7 +18,7 @@
  * @param readyPath the path of that question
  * @param metricsPort where its metrics are, on the address of the probes
  * @param threadCount event loops
- * @param keptBytes the most bytes of bodies that are kept at a time
+ * @param maxBufferedBytes the most bytes of bodies that are kept at a time
  * @param view how plan and upstreams are followed
  * @param retries how often requests may be sent again
  * @param warmUp how far upstreams that warm up may be sent more than they bear
@@ -34,7 +34,7 @@
     String readyPath,
     int metricsPort,
     int threadCount,
-    long keptBytes,
+    long maxBufferedBytes,
     ViewSettings view,
     RetryBounds retries,
     WarmUpBounds warmUp,
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
@@ -1,6 +1,6 @@
 package io.mothrill.daemon.forward;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.plan.ForwardingPlan;
 import io.mothrill.core.forward.spending.SpendingController;
 import io.mothrill.core.forward.upstream.UpstreamList;
@@ -11,17 +11,17 @@
 final class Readiness {
 
   /** Longest wait for the first tokens; many requests need none, so a longer one helps nobody. */
-  private static final long FIRST_ROW_MS = 2_000;
+  private static final long FIRST_ROW_TIMEOUT_MS = 2_000;
 
-  private final Section<ForwardingPlan> plan;
-  private final Section<UpstreamList> upstreams;
+  private final PublishedValue<ForwardingPlan> plan;
+  private final PublishedValue<UpstreamList> upstreams;
   private final SpendingController spending;
   private final Timers timers;
   private final long startedMs;
 
   Readiness(
-      Section<ForwardingPlan> plan,
-      Section<UpstreamList> upstreams,
+      PublishedValue<ForwardingPlan> plan,
+      PublishedValue<UpstreamList> upstreams,
       SpendingController spending,
       Timers timers) {
     this.plan = plan;
@@ -32,7 +32,7 @@
   }
 
   /** Completes with the first plan and list of upstreams, whichever comes last. */
-  CompletableFuture<Void> known() {
+  CompletableFuture<Void> initialState() {
     CompletableFuture<Void> planKnown = new CompletableFuture<>();
     CompletableFuture<Void> upstreamsKnown = new CompletableFuture<>();
     plan.subscribe(first -> planKnown.complete(null));
@@ -41,14 +41,14 @@
   }
 
   /** Says what is missing; empty once callers may come. */
-  String missing() {
+  String unreadyReason() {
     if (!plan.read().isKnown()) {
       return "no plan yet";
     }
     if (!upstreams.read().isKnown()) {
       return "no upstreams yet";
     }
-    boolean mayWait = timers.nowMs() - startedMs < FIRST_ROW_MS;
-    return mayWait && !spending.hasRow() ? "no tokens yet" : "";
+    boolean withinTimeout = timers.nowMs() - startedMs < FIRST_ROW_TIMEOUT_MS;
+    return withinTimeout && !spending.hasRow() ? "no tokens yet" : "";
   }
 }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
@@ -1,9 +1,9 @@
 package io.mothrill.daemon.forward;
 
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.http.HttpService;
-import io.mothrill.wire.operator.ReadyAnswer;
+import io.mothrill.wire.operator.ReadinessResponse;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
@@ -21,10 +21,10 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpInput input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     return CompletableFuture.completedFuture(
         input.path().equals(path)
-            ? ReadyAnswer.of(unreadyReason.get())
+            ? ReadinessResponse.of(unreadyReason.get())
             : HttpReply.text(NOT_FOUND, "not found\n"));
   }
 }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/StoryLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/RequestLog.java
@@ -3,8 +3,8 @@
 import com.codahale.metrics.MetricRegistry;
 import io.mothrill.core.forward.request.Fingerprint;
 import io.mothrill.core.time.Timers;
-import io.mothrill.daemon.log.LineLimit;
 import io.mothrill.daemon.log.LogFields;
+import io.mothrill.daemon.log.LogRateLimiter;
 import io.mothrill.wire.forward.ForwardedRequestLog;
 import java.util.stream.Collectors;
 import org.tinylog.Logger;
@@ -14,22 +14,22 @@
  *
  * <p>Requests that failed, were refused or were late go first; of the others only some are written.
  */
-final class StoryLog implements ForwardedRequestLog {
+final class RequestLog implements ForwardedRequestLog {
 
   private static final String SERVED = "served";
 
   /** Lines about trouble in a second; some hundred bytes each. */
-  private static final int TROUBLE_LINES_PER_S = 100;
+  private static final int FAILURE_LINES_PER_S = 100;
 
   /** Lines about requests that went well in a second, as examples to compare with. */
   private static final int SERVED_LINES_PER_S = 2;
 
   private final MetricRegistry metrics;
   private final Timers timers;
-  private final LineLimit troubleLines = new LineLimit(TROUBLE_LINES_PER_S);
-  private final LineLimit servedLines = new LineLimit(SERVED_LINES_PER_S);
+  private final LogRateLimiter failureLines = new LogRateLimiter(FAILURE_LINES_PER_S);
+  private final LogRateLimiter servedLines = new LogRateLimiter(SERVED_LINES_PER_S);
 
-  StoryLog(MetricRegistry metrics, Timers timers) {
+  RequestLog(MetricRegistry metrics, Timers timers) {
     this.metrics = metrics;
     this.timers = timers;
   }
@@ -47,9 +47,9 @@
     if (story.firstByteMs() >= 0) {
       metrics.histogram("forward.firstMs").update(story.firstByteMs());
     }
-    boolean trouble = !story.outcome().equals(SERVED) || story.missedTarget();
-    LineLimit limit = trouble ? troubleLines : servedLines;
-    if (limit.tryLine(timers.nowMs())) {
+    boolean failedOrLate = !story.outcome().equals(SERVED) || story.missedTarget();
+    LogRateLimiter limit = failedOrLate ? failureLines : servedLines;
+    if (limit.tryAcquire(timers.nowMs())) {
       write(story);
     }
   }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ThreadTimes.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ThreadCpuTime.java
@@ -5,11 +5,11 @@
 import java.util.Arrays;
 
 /** Processor time of this process's Java threads, read only when somebody asks for it. */
-final class ThreadTimes {
+final class ThreadCpuTime {
 
   private static final long NANOS_PER_MS = 1_000_000;
 
-  private ThreadTimes() {}
+  private ThreadCpuTime() {}
 
   /** Adds up all live threads; threads of the runtime itself are not among them. */
   static long totalCpuMs() {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamChoice.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamSelection.java
@@ -1,6 +1,6 @@
 package io.mothrill.daemon.forward;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.answer.SelfReportDispatcher;
 import io.mothrill.core.forward.check.SendChecks;
 import io.mothrill.core.forward.crash.TerminationProbe;
@@ -33,7 +33,7 @@
 import java.util.random.RandomGenerator;
 
 /** Puts together what decides which upstream a request goes to. */
-final class UpstreamChoice {
+final class UpstreamSelection {
 
   private final Timers timers;
   private final UpstreamLoads loads = new UpstreamLoads();
@@ -43,8 +43,8 @@
   private final AnnouncedRateLimits limits;
   private final LeavingUpstreams leaving;
   private final UpstreamBackoffs resting;
-  private final SelfReportDispatcher answers;
-  private final UpstreamStatusBroadcast news;
+  private final SelfReportDispatcher selfReports;
+  private final UpstreamStatusBroadcast statusBroadcast;
   private final SendChecks checks;
   private final UpstreamPicker picker;
 
@@ -56,16 +56,16 @@
    * @param upstreams the registered upstreams
    */
   record View(
-      Section<ForwardingPlan> plan,
-      Section<Set<String>> evacuatedDomains,
-      Section<UpstreamList> upstreams) {
+      PublishedValue<ForwardingPlan> plan,
+      PublishedValue<Set<String>> evacuatedDomains,
+      PublishedValue<UpstreamList> upstreams) {
 
     Optional<WarmUpPlan> warmUpOf(String service) {
       return plan.read().findService(service).flatMap(ServicePlan::warmUp);
     }
   }
 
-  UpstreamChoice(
+  UpstreamSelection(
       InstanceRecord self,
       ForwardSettings settings,
       View view,
@@ -91,10 +91,10 @@
     this.resting = new UpstreamBackoffs(timers);
     view.upstreams().subscribe(leaving::retain);
     view.upstreams().subscribe(resting::retain);
-    this.news =
+    this.statusBroadcast =
         new UpstreamStatusBroadcast(
             self, fleet::others, reports, view.upstreams(), loads, warming, leaving, timers);
-    this.answers = new SelfReportDispatcher(warming, limits, leaving, news, resting);
+    this.selfReports = new SelfReportDispatcher(warming, limits, leaving, statusBroadcast, resting);
     this.checks =
         new SendChecks(
             view.upstreams(),
@@ -123,13 +123,13 @@
   }
 
   /** Lets all instances know of upstreams that are found to have ended. */
-  TerminationProbe noting(TerminationProbe ends) {
+  TerminationProbe reportingEnds(TerminationProbe ends) {
     return upstream ->
         ends.hasTerminated(upstream)
             .thenApply(
                 ended -> {
                   if (ended) {
-                    news.onDetected(upstream, UpstreamStatus.ENDED);
+                    statusBroadcast.onDetected(upstream, UpstreamStatus.ENDED);
                   }
                   return ended;
                 });
@@ -163,12 +163,12 @@
     return resting;
   }
 
-  SelfReportDispatcher answers() {
-    return answers;
+  SelfReportDispatcher selfReports() {
+    return selfReports;
   }
 
-  UpstreamStatusBroadcast news() {
-    return news;
+  UpstreamStatusBroadcast statusBroadcast() {
+    return statusBroadcast;
   }
 
   SendChecks checks() {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/WorkLine.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/WorkLog.java
@@ -1,25 +1,25 @@
 package io.mothrill.daemon.forward;
 
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.daemon.log.LogFields;
 import java.util.Locale;
 import org.tinylog.Logger;
 
 /** The log line that says what the event loops were busy with since the start. */
-final class WorkLine {
+final class WorkLog {
 
   private static final long NANOS_PER_MS = 1_000_000;
 
-  private WorkLine() {}
+  private WorkLog() {}
 
-  static void write(WorkAccount work) {
+  static void write(WorkStats work) {
     LogFields line = LogFields.event("work");
     work.all().forEach((kind, entry) -> add(line, kind, entry));
     Logger.info(line.toString());
   }
 
-  private static void add(LogFields line, WorkKind kind, WorkAccount.Entry entry) {
+  private static void add(LogFields line, WorkKind kind, WorkStats.Totals entry) {
     String name = kind.name().toLowerCase(Locale.ROOT);
     line.with(name + "Turns", entry.turnCount())
         .with(name + "BusyMs", entry.busyNanos() / NANOS_PER_MS);
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
@@ -47,7 +47,7 @@
    */
   public JsonLinesWriter(Map<String, String> properties) {
     this(new FileOutputStream(FileDescriptor.out));
-    Thread thread = new Thread(this::writeAlways, "log");
+    Thread thread = new Thread(this::writeLoop, "log");
     thread.setDaemon(true);
     thread.start();
   }
@@ -100,7 +100,7 @@
     line.append('"');
   }
 
-  private void writeAlways() {
+  private void writeLoop() {
     List<String> lines = new ArrayList<>();
     while (true) {
       try {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LineLimit.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LogRateLimiter.java
@@ -1,7 +1,7 @@
 package io.mothrill.daemon.log;
 
 /** Lets through a number of lines in each second and counts the others; any thread may use it. */
-public final class LineLimit {
+public final class LogRateLimiter {
 
   private static final long MS_PER_S = 1_000;
 
@@ -15,7 +15,7 @@
    *
    * @param linesPerS lines in a second
    */
-  public LineLimit(int linesPerS) {
+  public LogRateLimiter(int linesPerS) {
     this.linesPerS = linesPerS;
   }
 
@@ -25,7 +25,7 @@
    * @param nowMs the time
    * @return true when it may be written
    */
-  public synchronized boolean tryLine(long nowMs) {
+  public synchronized boolean tryAcquire(long nowMs) {
     if (nowMs / MS_PER_S != second) {
       second = nowMs / MS_PER_S;
       lines = 0;
--- a/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
+++ b/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
@@ -30,7 +30,7 @@
   private List<String> explain(String id, String... lines) throws IOException {
     Path log = folder.resolve("edge-1.log");
     Files.write(log, List.of(lines));
-    return new Explanation(LogBook.read(List.of(log))).of(id);
+    return new Explanation(MergedLog.read(List.of(log))).explain(id);
   }
 
   // The caller heard 503 for lack of tokens. The log shows that the instance had been cut off from
@@ -84,7 +84,7 @@
     Path log = folder.resolve("mixed.log");
     Files.write(log, List.of("warning: something else", "", LOST));
 
-    LogBook book = LogBook.read(List.of(log));
+    MergedLog book = MergedLog.read(List.of(log));
 
     assertThat(book.unreadableCount()).isEqualTo(1);
     assertThat(book.lines()).hasSize(1);
--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
@@ -13,7 +13,7 @@
 import io.mothrill.lab.standin.EngineSettings;
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.http.HttpReply;
-import io.mothrill.wire.http.WholeAnswer;
+import io.mothrill.wire.http.ResponseAggregator;
 import io.mothrill.wire.json.Json;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -154,7 +154,7 @@
     HttpHeaders headers = new DefaultHttpHeaders();
     headers.set(HttpHeaderNames.AUTHORIZATION, "Bearer " + DemoFloor.keyOf(HALL));
     headers.set("idempotency-key", "ticket-" + number);
-    return WholeAnswer.of(
+    return ResponseAggregator.of(
         floor.http(),
         floor.caller(instance),
         HttpMethod.POST,
@@ -226,8 +226,9 @@
               expect("billed equals counted for " + budget, sums.billedTokens() == expected);
               expect(budget + " is not overspent", sums.billedTokens() <= sums.paidTokens());
             });
-    System.out.println("requests billed: " + audit.requests());
-    expect("each request has one bill", audit.requests() == results.size() + ticketsServed);
+    System.out.println("requests billed: " + audit.billedRequestCount());
+    expect(
+        "each request has one bill", audit.billedRequestCount() == results.size() + ticketsServed);
     audit.findings().forEach(finding -> expect("audit: " + finding, false));
   }
 
--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.resource.TeamKey;
 import io.mothrill.daemon.EntryInstance;
@@ -192,7 +192,7 @@
   }
 
   private static long revisionOf(EntryInstance instance) {
-    Section<ConfigSnapshot> config = instance.node().config();
+    PublishedValue<ConfigSnapshot> config = instance.node().config();
     return config.read().revision();
   }
 
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
@@ -8,7 +8,7 @@
 import io.mothrill.core.fake.FakeInstanceList;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.Fault;
-import io.mothrill.core.fake.FaultyCalls;
+import io.mothrill.core.fake.FaultInjector;
 import io.mothrill.core.fake.ManualTimers;
 import io.mothrill.core.forward.crash.CrashMessage;
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
@@ -83,8 +83,8 @@
         new InstanceRecord(id, id + "." + Node.newId(own), domain, id, 1, false);
     Network.Place place = Network.Place.of(id, domain);
     NodeClock clock = new NodeClock(timers);
-    FaultyCalls way = new FaultyCalls(clock);
-    way.fail(platformFault);
+    FaultInjector way = new FaultInjector(clock);
+    way.setFault(platformFault);
     PeerDispatcher dispatcher = new PeerDispatcher();
     links.join(id, place, clock, dispatcher);
     PlatformWay platform = new PlatformWay(network, place, way);
@@ -253,7 +253,7 @@
    * @return the row
    */
   public Row readNow(RowKey key) {
-    return table.through(new FaultyCalls(timers)).read(List.of(key)).join().get(0);
+    return table.withFaults(new FaultInjector(timers)).read(List.of(key)).join().get(0);
   }
 
   /**
@@ -272,9 +272,9 @@
    */
   public void failPlatform(Fault fault) {
     platformFault = fault;
-    table.faults().fail(fault);
-    instances.faults().fail(fault);
-    nodes.values().forEach(node -> node.platformWay().fail(fault));
+    table.faults().setFault(fault);
+    instances.faults().setFault(fault);
+    nodes.values().forEach(node -> node.platformWay().setFault(fault));
   }
 
   /**
@@ -301,18 +301,18 @@
    * @return the report
    */
   public AuditReport audit() {
-    return new Auditor(table.through(new FaultyCalls(timers))).audit().join();
+    return new Auditor(table.withFaults(new FaultInjector(timers))).audit().join();
   }
 
   /** One node's way to the platform. */
-  private record PlatformWay(Network network, Network.Place place, FaultyCalls way) {
+  private record PlatformWay(Network network, Network.Place place, FaultInjector way) {
 
     private boolean isOpen() {
       return network.reaches(place, Network.Place.of(Network.PLATFORM));
     }
 
-    TableService table(FakeTable table, FaultyCalls faults) {
-      return new CutTable(table.through(faults), this::isOpen);
+    TableService table(FakeTable table, FaultInjector faults) {
+      return new CutTable(table.withFaults(faults), this::isOpen);
     }
 
     InstanceList list(FakeInstanceList instances) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
@@ -1,6 +1,6 @@
 package io.mothrill.lab.fleet;
 
-import io.mothrill.core.fake.FaultyCalls;
+import io.mothrill.core.fake.FaultInjector;
 import io.mothrill.core.node.Node;
 import io.mothrill.core.platform.InstanceRecord;
 
@@ -10,9 +10,9 @@
   private final InstanceRecord record;
   private final Node node;
   private final NodeClock clock;
-  private final FaultyCalls platformWay;
+  private final FaultInjector platformWay;
 
-  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultyCalls platformWay) {
+  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultInjector platformWay) {
     this.record = record;
     this.node = node;
     this.clock = clock;
@@ -42,7 +42,7 @@
    *
    * @return the faults
    */
-  public FaultyCalls platformWay() {
+  public FaultInjector platformWay() {
     return platformWay;
   }
 
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
@@ -162,7 +162,7 @@
     }
 
     private void piece(byte[] bytes, Usage usage) {
-      listener.onPiece(bytes, usage);
+      listener.onChunk(bytes, usage);
     }
 
     private void end() {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
@@ -128,7 +128,7 @@
   }
 
   private static void failWay(ScenarioRun run, Step step) {
-    run.fleet().node(step.word(0)).platformWay().fail(fault(step, step.word(1)));
+    run.fleet().node(step.word(0)).platformWay().setFault(fault(step, step.word(1)));
   }
 
   private static void failEngine(ScenarioRun run, Step step) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
@@ -32,7 +32,7 @@
       case "audit" -> checkAudit(run, step);
       case "billed" -> compare(step, sums(run, step).billedTokens(), 2);
       case "held" -> compare(step, heldBy(run, step), 3);
-      case "requests" -> compare(step, run.fleet().audit().requests(), 1);
+      case "requests" -> compare(step, run.fleet().audit().billedRequestCount(), 1);
       case "revision" -> compare(step, revisionOf(run, step), 2);
       default -> throw step.wrong("does not know " + step.word(0));
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainServer.java
@@ -1,9 +1,9 @@
 package io.mothrill.lab.standin;
 
 import io.mothrill.core.time.Timers;
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
 import io.mothrill.wire.http.HttpServer;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.http.HttpService;
 import io.mothrill.wire.json.Json;
 import io.mothrill.wire.upstream.UpstreamHeaders;
@@ -66,7 +66,7 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpInput input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     String body = new String(input.body(), StandardCharsets.UTF_8);
     served.merge(body, 1, Integer::sum);
     CompletableFuture<HttpReply> reply = new CompletableFuture<>();
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
@@ -6,11 +6,11 @@
 import io.mothrill.core.fake.FakeObjectStore;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.Fault;
-import io.mothrill.core.fake.FaultyCalls;
+import io.mothrill.core.fake.FaultInjector;
 import io.mothrill.core.time.Timers;
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
 import io.mothrill.wire.http.HttpServer;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.http.HttpService;
 import io.mothrill.wire.json.Json;
 import io.mothrill.wire.platform.InstanceJson;
@@ -75,13 +75,13 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpInput input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     return route(input)
         .exceptionally(
             error -> HttpReply.json(UNAVAILABLE, Json.object().put("error", error.getMessage())));
   }
 
-  private CompletableFuture<HttpReply> route(HttpInput input) {
+  private CompletableFuture<HttpReply> route(HttpServerRequest input) {
     List<String> segments = input.segments();
     return switch (segments.get(0)) {
       case "table" -> serveTable(segments.get(1), Json.read(input.body()));
@@ -113,7 +113,7 @@
     };
   }
 
-  private CompletableFuture<HttpReply> serveInstances(HttpInput input) {
+  private CompletableFuture<HttpReply> serveInstances(HttpServerRequest input) {
     if (input.method().equals("POST")) {
       return instances
           .announce(InstanceJson.read(Json.read(input.body())))
@@ -129,7 +129,7 @@
             });
   }
 
-  private CompletableFuture<HttpReply> serveObjects(HttpInput input, String name) {
+  private CompletableFuture<HttpReply> serveObjects(HttpServerRequest input, String name) {
     if (input.method().equals("PUT")) {
       return objects
           .put(name, input.body())
@@ -151,12 +151,12 @@
     return CompletableFuture.completedFuture(HttpReply.json(OK, Json.object()));
   }
 
-  private static void set(FaultyCalls faults, JsonNode body, String name) {
+  private static void set(FaultInjector faults, JsonNode body, String name) {
     if (body.has(name)) {
-      faults.fail(Fault.valueOf(body.path(name).asText()));
+      faults.setFault(Fault.valueOf(body.path(name).asText()));
     }
     if (body.has("delayMs")) {
-      faults.slowDown(body.path("delayMs").asLong());
+      faults.setDelayMs(body.path("delayMs").asLong());
     }
   }
 }
--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -11,7 +11,7 @@
 import io.mothrill.lab.standin.EngineText;
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.http.HttpReply;
-import io.mothrill.wire.http.WholeAnswer;
+import io.mothrill.wire.http.ResponseAggregator;
 import io.mothrill.wire.json.Json;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -116,7 +116,7 @@
     String requestId = engine.runs().keySet().iterator().next();
     // WHEN
     HttpReply rest =
-        WholeAnswer.of(
+        ResponseAggregator.of(
                 floor.http(),
                 new Address("127.0.0.1", engine.port()),
                 HttpMethod.GET,
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.request.CallPlanner;
 import io.mothrill.core.request.CallRequest;
@@ -13,8 +13,8 @@
 import io.mothrill.core.resource.ResourceKind;
 import io.mothrill.core.resource.ServiceSpec;
 import io.mothrill.core.resource.ServiceType;
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.json.Json;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -38,21 +38,22 @@
 /** One caller's connection: reads a request, runs it, and only then reads the next. */
 final class CallerHandler extends ChannelInboundHandlerAdapter {
 
-  private static final int MAX_HELD_MESSAGES = 64;
+  private static final int MAX_QUEUED_MESSAGES = 64;
 
   private final RequestService requests;
-  private final Section<ConfigSnapshot> config;
+  private final PublishedValue<ConfigSnapshot> config;
   private final CallerLimits limits;
-  private final Deque<HttpObject> held = new ArrayDeque<>();
+  private final Deque<HttpObject> queued = new ArrayDeque<>();
   private ChannelHandlerContext context;
   private HttpRequest head;
   private ByteArrayOutputStream body;
-  private Future<?> sendStall;
-  private Future<?> readStall;
+  private Future<?> sendStallTimer;
+  private Future<?> readStallTimer;
   private Exchange exchange;
-  private boolean answering;
+  private boolean responding;
 
-  CallerHandler(RequestService requests, Section<ConfigSnapshot> config, CallerLimits limits) {
+  CallerHandler(
+      RequestService requests, PublishedValue<ConfigSnapshot> config, CallerLimits limits) {
     this.requests = requests;
     this.config = config;
     this.limits = limits;
@@ -66,37 +67,37 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     HttpObject part = (HttpObject) message;
-    if (!answering) {
-      take(part);
-    } else if (held.size() < MAX_HELD_MESSAGES) {
-      held.add(part);
+    if (!responding) {
+      process(part);
+    } else if (queued.size() < MAX_QUEUED_MESSAGES) {
+      queued.add(part);
     } else {
       ReferenceCountUtil.release(part);
       ctx.close();
     }
   }
 
-  private void take(HttpObject part) {
+  private void process(HttpObject part) {
     try {
       if (part.decoderResult().isFailure()) {
         refuseAndClose(Refusal.badRequest("the request is not HTTP, or its header is too large"));
         return;
       }
       if (part instanceof HttpRequest request) {
-        begin(request);
+        startRequest(request);
       }
       if (part instanceof HttpContent content && head != null) {
-        add(content);
+        appendBody(content);
       }
     } finally {
       ReferenceCountUtil.release(part);
     }
   }
 
-  private void begin(HttpRequest request) {
+  private void startRequest(HttpRequest request) {
     head = request;
     body = new ByteArrayOutputStream();
-    sendStall =
+    sendStallTimer =
         context
             .executor()
             .schedule(
@@ -112,24 +113,24 @@
     }
   }
 
-  private void add(HttpContent content) {
+  private void appendBody(HttpContent content) {
     if (body.size() + content.content().readableBytes() > limits.maxBodyBytes()) {
       refuseAndClose(Refusal.tooLarge(limits.maxBodyBytes()));
       return;
     }
     body.writeBytes(ByteBufUtil.getBytes(content.content()));
     if (content instanceof LastHttpContent) {
-      sendStall.cancel(false);
+      sendStallTimer.cancel(false);
       run();
     }
   }
 
   private void run() {
-    HttpInput input =
-        new HttpInput(head.method().name(), head.uri(), head.headers(), body.toByteArray());
-    NettyCaller caller =
-        new NettyCaller(context.channel(), HttpUtil.isKeepAlive(head), this::onAnswered);
-    answering = true;
+    HttpServerRequest input =
+        new HttpServerRequest(head.method().name(), head.uri(), head.headers(), body.toByteArray());
+    NettyCallerStream caller =
+        new NettyCallerStream(context.channel(), HttpUtil.isKeepAlive(head), this::onResponseEnd);
+    responding = true;
     head = null;
     body = null;
     try {
@@ -137,9 +138,9 @@
         listModels(input, caller);
         return;
       }
-      CallRequest request = CallerRequests.read(input);
+      CallRequest request = CallerRequestReader.read(input);
       exchange = requests.run(request, caller);
-      if (!answering) {
+      if (!responding) {
         exchange = null;
       }
     } catch (RefusedException ex) {
@@ -147,9 +148,9 @@
     }
   }
 
-  private void listModels(HttpInput input, NettyCaller caller) {
+  private void listModels(HttpServerRequest input, NettyCallerStream caller) {
     ConfigSnapshot snapshot = config.read();
-    CallPlanner.authenticate(snapshot, CallerRequests.bearer(input.headers()));
+    CallPlanner.authenticate(snapshot, CallerRequestReader.bearer(input.headers()));
     ObjectNode node = Json.object().put("object", "list");
     ArrayNode data = node.putArray("data");
     snapshot.list(ResourceKind.SERVICE).stream()
@@ -160,26 +161,26 @@
     caller.end();
   }
 
-  private void onAnswered() {
-    answering = false;
+  private void onResponseEnd() {
+    responding = false;
     exchange = null;
-    stopReadStall();
-    context.executor().execute(this::takeHeld);
+    cancelReadStallTimer();
+    context.executor().execute(this::processQueued);
   }
 
-  private void takeHeld() {
-    while (!answering && !held.isEmpty()) {
-      take(held.poll());
+  private void processQueued() {
+    while (!responding && !queued.isEmpty()) {
+      process(queued.poll());
     }
   }
 
   private void refuseAndClose(Refusal refusal) {
     head = null;
-    if (sendStall != null) {
-      sendStall.cancel(false);
+    if (sendStallTimer != null) {
+      sendStallTimer.cancel(false);
     }
-    answering = true;
-    new NettyCaller(context.channel(), false, () -> {}).refuse(refusal);
+    responding = true;
+    new NettyCallerStream(context.channel(), false, () -> {}).refuse(refusal);
   }
 
   /**
@@ -194,28 +195,28 @@
     if (exchange != null) {
       exchange.onCallerWritable(writable);
     }
-    stopReadStall();
+    cancelReadStallTimer();
     if (!writable) {
-      readStall =
+      readStallTimer =
           ctx.executor().schedule(() -> ctx.close(), limits.readStallMs(), TimeUnit.MILLISECONDS);
     }
   }
 
-  private void stopReadStall() {
-    if (readStall != null) {
-      readStall.cancel(false);
-      readStall = null;
+  private void cancelReadStallTimer() {
+    if (readStallTimer != null) {
+      readStallTimer.cancel(false);
+      readStallTimer = null;
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    stopReadStall();
-    if (sendStall != null) {
-      sendStall.cancel(false);
+    cancelReadStallTimer();
+    if (sendStallTimer != null) {
+      sendStallTimer.cancel(false);
     }
-    held.forEach(ReferenceCountUtil::release);
-    held.clear();
+    queued.forEach(ReferenceCountUtil::release);
+    queued.clear();
     if (exchange != null) {
       exchange.onCallerDisconnected();
     }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequests.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequestReader.java
@@ -8,10 +8,10 @@
 import io.mothrill.core.resource.Priority;
 import io.mothrill.core.resource.ServiceType;
 import io.mothrill.core.upstream.CallBody;
-import io.mothrill.wire.http.HttpInput;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.json.Json;
 import io.mothrill.wire.json.JsonFields;
-import io.mothrill.wire.json.Names;
+import io.mothrill.wire.json.NameFormat;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import java.nio.charset.StandardCharsets;
@@ -22,7 +22,7 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /** Reads callers' requests: chat completions and calls to plain services. */
-final class CallerRequests {
+final class CallerRequestReader {
 
   static final String CHAT_PATH = "/v1/chat/completions";
   static final String SERVICES = "services";
@@ -30,9 +30,9 @@
   private static final String BEARER = "Bearer ";
   private static final long MAX_OUTPUT_TOKENS = 10_000_000;
   private static final int AFFINITY_CHARS = 256;
-  private static final int OVERHEAD_TOKENS = 16;
-  private static final byte[] NOTHING = new byte[0];
-  private static final byte[] CUT_ENDING =
+  private static final int OVERHEAD_TOKENS_PER_MESSAGE = 16;
+  private static final byte[] EMPTY_BYTES = new byte[0];
+  private static final byte[] TRUNCATED_STREAM_END =
       """
       data: {"choices":[{"index":0,"delta":{},"finish_reason":"length"}]}
 
@@ -41,7 +41,7 @@
       """
           .getBytes(StandardCharsets.UTF_8);
 
-  private CallerRequests() {}
+  private CallerRequestReader() {}
 
   /**
    * Reads a request.
@@ -50,7 +50,7 @@
    * @return the request for the core
    * @throws RefusedException when it is not one that is served
    */
-  static CallRequest read(HttpInput input) {
+  static CallRequest read(HttpServerRequest input) {
     try {
       List<String> segments = input.segments();
       if (input.path().equals(CHAT_PATH)) {
@@ -65,14 +65,14 @@
     }
   }
 
-  private static CallRequest readChat(HttpInput input) {
+  private static CallRequest readChat(HttpServerRequest input) {
     if (!input.method().equals("POST")) {
       throw new RefusedException(Refusal.methodNotAllowed(input.method()));
     }
     JsonNode body = Json.read(input.body());
     JsonFields fields = JsonFields.of(body, "");
     String model = fields.text("model");
-    List<JsonNode> messages = fields.openObjects("messages");
+    List<JsonNode> messages = fields.lenientObjects("messages");
     if (messages.isEmpty()) {
       fields.refuse("messages", "must have at least one message");
     }
@@ -84,18 +84,18 @@
         input,
         ServiceType.MODEL,
         model,
-        promptLimit(body.path("messages")),
+        maxPromptTokens(body.path("messages")),
         otherCap.isPresent() ? otherCap : cap,
         streamed,
         affinity(messages),
         CHAT_PATH,
         new ChatBody(body),
-        CUT_ENDING);
+        TRUNCATED_STREAM_END);
   }
 
   /** No tokenizer makes more tokens than a text has bytes. */
-  private static long promptLimit(JsonNode messages) {
-    return Json.bytes(messages).length + (long) OVERHEAD_TOKENS * messages.size();
+  private static long maxPromptTokens(JsonNode messages) {
+    return Json.bytes(messages).length + (long) OVERHEAD_TOKENS_PER_MESSAGE * messages.size();
   }
 
   private static String affinity(List<JsonNode> messages) {
@@ -103,7 +103,7 @@
     return first.substring(0, Math.min(AFFINITY_CHARS, first.length()));
   }
 
-  private static CallRequest readPlain(HttpInput input, String service) {
+  private static CallRequest readPlain(HttpServerRequest input, String service) {
     byte[] body = input.body();
     String rest = input.uri().substring(("/" + SERVICES + "/" + service).length());
     return request(
@@ -116,11 +116,11 @@
         "",
         rest.isEmpty() ? "/" : rest,
         cap -> body,
-        NOTHING);
+        EMPTY_BYTES);
   }
 
   private static CallRequest request(
-      HttpInput input,
+      HttpServerRequest input,
       ServiceType type,
       String service,
       long promptLimitTokens,
@@ -129,7 +129,7 @@
       String affinity,
       String path,
       CallBody body,
-      byte[] cutEnding) {
+      byte[] truncatedStreamEnd) {
     HttpHeaders headers = input.headers();
     return new CallRequest(
         bearer(headers),
@@ -148,7 +148,7 @@
         path,
         headers.get(HttpHeaderNames.CONTENT_TYPE, ""),
         body,
-        cutEnding);
+        truncatedStreamEnd);
   }
 
   static String bearer(HttpHeaders headers) {
@@ -158,8 +158,8 @@
 
   private static Optional<String> idempotencyKey(HttpHeaders headers) {
     Optional<String> key = Optional.ofNullable(headers.get(CallerHeaders.IDEMPOTENCY_KEY));
-    if (key.isPresent() && !Names.isValid(key.get())) {
-      throw new RefusedException(Refusal.badRequest("Idempotency-Key " + Names.RULE));
+    if (key.isPresent() && !NameFormat.isValid(key.get())) {
+      throw new RefusedException(Refusal.badRequest("Idempotency-Key " + NameFormat.RULE));
     }
     return key;
   }
@@ -176,7 +176,7 @@
     };
   }
 
-  private static String fingerprint(HttpInput input) {
+  private static String fingerprint(HttpServerRequest input) {
     String head = input.method() + " " + input.uri() + "\n";
     return DigestUtils.sha256Hex(head + DigestUtils.sha256Hex(input.body()));
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerEdge.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerServer.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.caller;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.ConfigSnapshot;
 import io.mothrill.core.request.RequestService;
 import io.mothrill.wire.http.HttpServer;
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Listens for callers. */
-public final class CallerEdge {
+public final class CallerServer {
 
   private final HttpServer server;
 
@@ -23,12 +23,12 @@
    * @param config the configuration in force
    * @param limits what one caller may take up
    */
-  public CallerEdge(
+  public CallerServer(
       EventLoopGroup group,
       String host,
       int port,
       RequestService requests,
-      Section<ConfigSnapshot> config,
+      PublishedValue<ConfigSnapshot> config,
       CallerLimits limits) {
     this.server =
         new HttpServer(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCaller.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
@@ -22,20 +22,20 @@
 import java.util.Locale;
 
 /** Writes one answer to a caller's connection. */
-final class NettyCaller implements CallerStream {
+final class NettyCallerStream implements CallerStream {
 
   private static final long SECOND_MS = 1_000;
 
   private final Channel channel;
   private final boolean keepAlive;
-  private final Runnable onAnswered;
+  private final Runnable onResponseEnd;
   private String requestId = "";
   private String key = "";
 
-  NettyCaller(Channel channel, boolean keepAlive, Runnable onAnswered) {
+  NettyCallerStream(Channel channel, boolean keepAlive, Runnable onAnswered) {
     this.channel = channel;
     this.keepAlive = keepAlive;
-    this.onAnswered = onAnswered;
+    this.onResponseEnd = onAnswered;
   }
 
   @Override
@@ -88,7 +88,7 @@
   private void finish(Object last) {
     var written = channel.writeAndFlush(last);
     if (keepAlive) {
-      onAnswered.run();
+      onResponseEnd.run();
     } else {
       written.addListener(ChannelFutureListener.CLOSE);
     }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardDependencies.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardDependencies.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.forward.answer.SelfReportDispatcher;
 import io.mothrill.core.forward.check.SendChecks;
 import io.mothrill.core.forward.crash.CrashGuard;
@@ -14,7 +14,7 @@
 import io.mothrill.core.forward.upstream.UpstreamPicker;
 import io.mothrill.core.forward.upstream.UpstreamStatusBroadcast;
 import io.mothrill.core.time.Timers;
-import io.mothrill.core.work.WorkAccount;
+import io.mothrill.core.work.WorkStats;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
@@ -45,7 +45,7 @@
 public record ForwardDependencies(
     Dialect dialect,
     CompletableFuture<Void> initialStateLoaded,
-    Section<ForwardingPlan> plan,
+    PublishedValue<ForwardingPlan> plan,
     SendChecks checks,
     UpstreamPicker picker,
     UpstreamLoads loads,
@@ -60,5 +60,5 @@
     SelfReportDispatcher selfReports,
     Consumer<String> domainContacts,
     Timers timers,
-    WorkAccount workStats,
+    WorkStats workStats,
     RandomGenerator random) {}
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
@@ -2,8 +2,8 @@
 
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import io.mothrill.core.time.Timers;
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.wire.work.WorkMeter;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -38,10 +38,10 @@
   private final EventLoop loop;
   private final Dialect dialect;
   private final Timers timers;
-  private final WorkAccount workStats;
+  private final WorkStats workStats;
   private final Map<String, Deque<UpstreamConnection>> idle = new HashMap<>();
 
-  UpstreamPool(EventLoop loop, Dialect dialect, Timers timers, WorkAccount work) {
+  UpstreamPool(EventLoop loop, Dialect dialect, Timers timers, WorkStats work) {
     this.loop = loop;
     this.dialect = dialect;
     this.timers = timers;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
@@ -22,7 +22,7 @@
 
   private ChannelHandlerContext context;
   private HttpSink sink;
-  private Runnable putBack;
+  private Runnable returnToPool;
   private boolean keepAlive;
   private long stallMs;
   private volatile long lastReadNanos = System.nanoTime();
@@ -47,12 +47,12 @@
     return System.nanoTime() - lastReadNanos;
   }
 
-  void begin(HttpSink newSink, long newStallMs, Runnable newPutBack) {
+  void startCall(HttpSink newSink, long newStallMs, Runnable newReturnToPool) {
     this.sink = newSink;
-    this.putBack = newPutBack;
+    this.returnToPool = newReturnToPool;
     this.stallMs = newStallMs;
     this.lastReadNanos = System.nanoTime();
-    watch(newStallMs);
+    scheduleWatchdog(newStallMs);
   }
 
   /**
@@ -62,7 +62,7 @@
    * waits for ever, though new connections work. Only this connection is closed. While reading is
    * stopped for a slow caller, silence is not the upstream's fault.
    */
-  private void watch(long delayMs) {
+  private void scheduleWatchdog(long delayMs) {
     watchdog =
         context
             .executor()
@@ -71,11 +71,11 @@
                   long silentMs = idleNanos() / NANOS_PER_MS;
                   if (!context.channel().config().isAutoRead()) {
                     lastReadNanos = System.nanoTime();
-                    watch(stallMs);
+                    scheduleWatchdog(stallMs);
                   } else if (silentMs >= stallMs) {
                     fail("silent for " + silentMs + " ms");
                   } else {
-                    watch(stallMs - silentMs);
+                    scheduleWatchdog(stallMs - silentMs);
                   }
                 },
                 delayMs,
@@ -111,9 +111,9 @@
       sink.onBody(ByteBufUtil.getBytes(content.content()));
     }
     if (sink != null && content instanceof LastHttpContent) {
-      HttpSink ended = release();
+      HttpSink ended = detachSink();
       if (keepAlive) {
-        putBack.run();
+        returnToPool.run();
       } else {
         context.close();
       }
@@ -121,7 +121,7 @@
     }
   }
 
-  private HttpSink release() {
+  private HttpSink detachSink() {
     HttpSink released = sink;
     sink = null;
     if (watchdog != null) {
@@ -136,13 +136,13 @@
         .executor()
         .execute(
             () -> {
-              release();
+              detachSink();
               context.close();
             });
   }
 
   private void fail(String detail) {
-    HttpSink failed = release();
+    HttpSink failed = detachSink();
     context.close();
     if (failed != null) {
       failed.onFailure(true, detail);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
@@ -35,7 +35,7 @@
   private static final int MAX_HEADER_BYTES = 16_384;
   private static final int MAX_CHUNK_BYTES = 8_192;
   private static final int CONNECT_TIMEOUT_MS = 1_000;
-  private static final long IDLE_MAX_NANOS = 15_000_000_000L;
+  private static final long MAX_IDLE_NANOS = 15_000_000_000L;
 
   private final Bootstrap bootstrap;
   private final Map<PoolKey, Deque<Channel>> idle = new ConcurrentHashMap<>();
@@ -53,9 +53,9 @@
    * Creates the client.
    *
    * @param group the event loops of its connections
-   * @param first makes the handlers that stand before all others on a connection
+   * @param leadingHandlers makes the handlers that stand before all others on a connection
    */
-  public HttpClient(EventLoopGroup group, Supplier<List<ChannelHandler>> first) {
+  public HttpClient(EventLoopGroup group, Supplier<List<ChannelHandler>> leadingHandlers) {
     this.bootstrap =
         new Bootstrap()
             .group(group)
@@ -66,7 +66,7 @@
                 new ChannelInitializer<SocketChannel>() {
                   @Override
                   protected void initChannel(SocketChannel channel) {
-                    first.get().forEach(channel.pipeline()::addLast);
+                    leadingHandlers.get().forEach(channel.pipeline()::addLast);
                     channel
                         .pipeline()
                         .addLast(
@@ -118,7 +118,7 @@
    */
   public Handle send(HttpCall call, HttpSink sink) {
     Handle handle = new Handle();
-    Channel pooled = call.freshConnection() ? null : takeIdle(call);
+    Channel pooled = call.freshConnection() ? null : acquireIdle(call);
     if (pooled != null) {
       start(pooled, call, sink, handle, () -> connect(call, sink, handle));
     } else {
@@ -127,7 +127,7 @@
     return handle;
   }
 
-  private Channel takeIdle(HttpCall call) {
+  private Channel acquireIdle(HttpCall call) {
     Deque<Channel> channels = idle.get(new PoolKey(call.to(), call.pool()));
     if (channels == null) {
       return null;
@@ -145,7 +145,7 @@
 
   private static boolean isFresh(Channel channel) {
     return ClientHandler.find(channel)
-        .filter(handler -> handler.idleNanos() < IDLE_MAX_NANOS)
+        .filter(handler -> handler.idleNanos() < MAX_IDLE_NANOS)
         .isPresent();
   }
 
@@ -184,7 +184,9 @@
               }
               ClientHandler.find(channel)
                   .ifPresent(
-                      handler -> handler.begin(sink, call.stallMs(), () -> putBack(call, channel)));
+                      handler ->
+                          handler.startCall(
+                              sink, call.stallMs(), () -> returnToPool(call, channel)));
               channel.writeAndFlush(requestOf(call));
             });
   }
@@ -199,7 +201,7 @@
     return request;
   }
 
-  private void putBack(HttpCall call, Channel channel) {
+  private void returnToPool(HttpCall call, Channel channel) {
     channel.config().setAutoRead(true);
     Deque<Channel> channels =
         idle.computeIfAbsent(new PoolKey(call.to(), call.pool()), key -> new ArrayDeque<>());
@@ -209,11 +211,11 @@
   }
 
   /** Closes connections that have been idle for long; to be called now and then. */
-  public void closeStale() {
-    idle.values().forEach(HttpClient::closeStale);
+  public void closeIdleConnections() {
+    idle.values().forEach(HttpClient::closeIdleConnections);
   }
 
-  private static void closeStale(Deque<Channel> channels) {
+  private static void closeIdleConnections(Deque<Channel> channels) {
     synchronized (channels) {
       channels.removeIf(
           channel -> {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpInput.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServerRequest.java
@@ -13,7 +13,7 @@
  * @param body the body; not to be changed
  */
 @SuppressWarnings("ArrayRecordComponent")
-public record HttpInput(String method, String uri, HttpHeaders headers, byte[] body) {
+public record HttpServerRequest(String method, String uri, HttpHeaders headers, byte[] body) {
 
   /**
    * Gives the path without its query.
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
@@ -12,5 +12,5 @@
    * @param input the request
    * @return the answer; a failed future becomes status 400 for wrong input and 500 otherwise
    */
-  CompletableFuture<HttpReply> serve(HttpInput input);
+  CompletableFuture<HttpReply> serve(HttpServerRequest input);
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/WholeAnswer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ResponseAggregator.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Collects the answer to a call whose body is small. */
-public final class WholeAnswer implements HttpSink {
+public final class ResponseAggregator implements HttpSink {
 
   private static final int MAX_BYTES = 64 * 1024 * 1024;
 
@@ -38,14 +38,14 @@
       HttpHeaders headers,
       byte[] requestBody,
       long timeoutMs) {
-    WholeAnswer whole = new WholeAnswer();
+    ResponseAggregator whole = new ResponseAggregator();
     var unused =
         client.send(
             new HttpCall(to, "", method, path, headers, requestBody, false, timeoutMs), whole);
     return whole.reply;
   }
 
-  private WholeAnswer() {}
+  private ResponseAggregator() {}
 
   @Override
   public boolean onHead(HttpResponse head) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ServiceHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ServiceHandler.java
@@ -34,8 +34,8 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
     boolean keepAlive = HttpUtil.isKeepAlive(request);
-    HttpInput input =
-        new HttpInput(
+    HttpServerRequest input =
+        new HttpServerRequest(
             request.method().name(),
             request.uri(),
             request.headers().copy(),
@@ -46,7 +46,7 @@
             .thenAccept(reply -> write(ctx, reply, keepAlive));
   }
 
-  private CompletableFuture<HttpReply> serve(HttpInput input) {
+  private CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     try {
       return service.serve(input);
     } catch (RuntimeException ex) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
@@ -101,8 +101,8 @@
    */
   public String name(String name) {
     String value = text(name);
-    if (!value.isEmpty() && !Names.isValid(value)) {
-      errors.add(FieldError.refused(pathOf(name), Names.RULE));
+    if (!value.isEmpty() && !NameFormat.isValid(value)) {
+      errors.add(FieldError.refused(pathOf(name), NameFormat.RULE));
     }
     return value;
   }
@@ -181,7 +181,7 @@
    * @param fallback the value when the field is not there
    * @return the word
    */
-  public String word(String name, List<String> words, String fallback) {
+  public String choice(String name, List<String> words, String fallback) {
     String value = text(name, fallback);
     if (!words.contains(value)) {
       errors.add(FieldError.refused(pathOf(name), "must be one of " + String.join(", ", words)));
@@ -253,7 +253,7 @@
    * @param name the field
    * @return the objects
    */
-  public List<JsonNode> openObjects(String name) {
+  public List<JsonNode> lenientObjects(String name) {
     List<JsonNode> read = new ArrayList<>();
     eachOf(name)
         .forEach(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonResources.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonResources.java
@@ -52,7 +52,7 @@
    */
   public static Manifest readManifest(JsonNode node) {
     JsonFields fields = JsonFields.of(node, "");
-    String apiVersion = fields.word("apiVersion", List.of(API_VERSION), API_VERSION);
+    String apiVersion = fields.choice("apiVersion", List.of(API_VERSION), API_VERSION);
     String kindName = fields.text("kind");
     Optional<ResourceKind> kind =
         KINDS.contains(kindName) ? ResourceKind.find(kindName) : Optional.empty();
@@ -99,8 +99,8 @@
 
   private static Spec readService(JsonFields fields) {
     return new ServiceSpec(
-        enumOf(ServiceType.class, fields.word("type", List.of("model", "plain"), "model")),
-        enumOf(Priority.class, fields.word("priority", List.of("urgent", "batch"), "urgent")),
+        enumOf(ServiceType.class, fields.choice("type", List.of("model", "plain"), "model")),
+        enumOf(Priority.class, fields.choice("priority", List.of("urgent", "batch"), "urgent")),
         fields.flag("repeatable", true),
         fields.number("maxOutputTokens", 1, 10_000_000, 4_096),
         fields.number("tokensPerCall", 0, MAX_TOKENS, 1),
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/Names.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/NameFormat.java
@@ -3,7 +3,7 @@
 import java.util.regex.Pattern;
 
 /** The rule that names of resources, instances and keys keep. */
-public final class Names {
+public final class NameFormat {
 
   /** The rule, to be read after a field's path. */
   public static final String RULE =
@@ -11,7 +11,7 @@
 
   private static final Pattern VALID = Pattern.compile("[A-Za-z0-9._~:-]{1,128}");
 
-  private Names() {}
+  private NameFormat() {}
 
   /**
    * Checks a name.
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorClient.java
@@ -4,7 +4,7 @@
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.http.HttpClient;
 import io.mothrill.wire.http.HttpReply;
-import io.mothrill.wire.http.WholeAnswer;
+import io.mothrill.wire.http.ResponseAggregator;
 import io.mothrill.wire.json.Json;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaders;
@@ -15,7 +15,7 @@
 /** Calls an instance's operator port. */
 public final class OperatorClient {
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY_BODY = new byte[0];
 
   private final HttpClient http;
   private final Address server;
@@ -59,7 +59,7 @@
    * @return the server's answer
    */
   public CompletableFuture<HttpReply> delete(String kind, String name, String changeId) {
-    return call(HttpMethod.DELETE, pathOf(kind, name), changeId, NOTHING);
+    return call(HttpMethod.DELETE, pathOf(kind, name), changeId, EMPTY_BODY);
   }
 
   /**
@@ -70,7 +70,7 @@
    * @return the server's answer
    */
   public CompletableFuture<HttpReply> get(String kind, String name) {
-    return call(HttpMethod.GET, pathOf(kind, name), "", NOTHING);
+    return call(HttpMethod.GET, pathOf(kind, name), "", EMPTY_BODY);
   }
 
   /**
@@ -82,7 +82,7 @@
    */
   public CompletableFuture<HttpReply> changes(long after, long waitMs) {
     return call(
-        HttpMethod.GET, "/apis/v1/changes?after=" + after + "&waitMs=" + waitMs, "", NOTHING);
+        HttpMethod.GET, "/apis/v1/changes?after=" + after + "&waitMs=" + waitMs, "", EMPTY_BODY);
   }
 
   /**
@@ -91,7 +91,7 @@
    * @return the server's answer
    */
   public CompletableFuture<HttpReply> config() {
-    return call(HttpMethod.GET, "/apis/v1/config", "", NOTHING);
+    return call(HttpMethod.GET, "/apis/v1/config", "", EMPTY_BODY);
   }
 
   /**
@@ -101,7 +101,7 @@
    * @return the server's answer
    */
   public CompletableFuture<HttpReply> decisions(String requestId) {
-    return call(HttpMethod.GET, "/apis/v1/decisions/" + requestId, "", NOTHING);
+    return call(HttpMethod.GET, "/apis/v1/decisions/" + requestId, "", EMPTY_BODY);
   }
 
   private static String pathOf(String kind, String name) {
@@ -116,6 +116,6 @@
     if (!changeId.isEmpty()) {
       headers.set("mothrill-change-id", changeId);
     }
-    return WholeAnswer.of(http, server, method, path, headers, body, timeoutMs);
+    return ResponseAggregator.of(http, server, method, path, headers, body, timeoutMs);
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.mothrill.core.board.Section;
+import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.config.Change;
 import io.mothrill.core.config.ChangeRequest;
 import io.mothrill.core.config.ConfigSnapshot;
@@ -17,8 +17,8 @@
 import io.mothrill.core.resource.Spec;
 import io.mothrill.core.routing.RecentDecisions;
 import io.mothrill.core.time.Timers;
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.http.HttpService;
 import io.mothrill.wire.json.Json;
 import io.mothrill.wire.json.JsonResources;
@@ -45,7 +45,7 @@
   private static final long WATCH_POLL_MS = 50;
 
   private final ConfigStore store;
-  private final Section<ConfigSnapshot> config;
+  private final PublishedValue<ConfigSnapshot> config;
   private final MembershipController membership;
   private final ResourceStatus status;
   private final RecentDecisions decisions;
@@ -63,7 +63,7 @@
    */
   public OperatorService(
       ConfigStore store,
-      Section<ConfigSnapshot> config,
+      PublishedValue<ConfigSnapshot> config,
       MembershipController membership,
       ResourceStatus status,
       RecentDecisions decisions,
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpInput input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     List<String> segments = input.segments();
     if (segments.size() < 3 || !input.path().startsWith("/apis/v1/")) {
       return reply(NOT_FOUND, error("not_found", "there is nothing at " + input.path()));
@@ -143,7 +143,7 @@
   }
 
   /** Gives the changes after a revision, and waits for the next one when there is none. */
-  private CompletableFuture<HttpReply> changes(HttpInput input) {
+  private CompletableFuture<HttpReply> changes(HttpServerRequest input) {
     long after = queryNumber(input, "after", 0);
     long waitMs = Math.min(MAX_WAIT_MS, queryNumber(input, "waitMs", 0));
     CompletableFuture<HttpReply> reply = new CompletableFuture<>();
@@ -151,7 +151,7 @@
     return reply;
   }
 
-  private static long queryNumber(HttpInput input, String name, long fallback) {
+  private static long queryNumber(HttpServerRequest input, String name, long fallback) {
     String text = input.query(name, String.valueOf(fallback));
     try {
       return Long.parseLong(text);
@@ -167,7 +167,7 @@
     }
     var unused =
         store
-            .after(after, MAX_CHANGES)
+            .changesAfter(after, MAX_CHANGES)
             .thenApply(OperatorService::changesReply)
             .whenComplete(
                 (found, error) -> {
@@ -200,7 +200,7 @@
     return node;
   }
 
-  private CompletableFuture<HttpReply> resources(HttpInput input, List<String> segments) {
+  private CompletableFuture<HttpReply> resources(HttpServerRequest input, List<String> segments) {
     Optional<ResourceKind> kind = ResourceKind.find(segments.get(2));
     if (kind.isEmpty()) {
       return reply(NOT_FOUND, error("not_found", "there is no kind " + segments.get(2)));
@@ -214,7 +214,7 @@
     };
   }
 
-  private static OptionalLong expected(HttpInput input) {
+  private static OptionalLong expected(HttpServerRequest input) {
     long version = queryNumber(input, "resourceVersion", -1);
     return version < 0 ? OptionalLong.empty() : OptionalLong.of(version);
   }
@@ -250,7 +250,8 @@
             });
   }
 
-  private CompletableFuture<HttpReply> put(HttpInput input, ResourceKind kind, String name) {
+  private CompletableFuture<HttpReply> put(
+      HttpServerRequest input, ResourceKind kind, String name) {
     Manifest manifest = JsonResources.readManifest(Json.read(input.body()));
     if (manifest.kind() != kind || !manifest.name().equals(name)) {
       throw InvalidInputException.of(
@@ -260,7 +261,7 @@
   }
 
   private CompletableFuture<HttpReply> change(
-      HttpInput input,
+      HttpServerRequest input,
       ResourceKind kind,
       String name,
       Optional<Spec> spec,
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
@@ -1,8 +1,8 @@
 package io.mothrill.wire.operator;
 
 import com.codahale.metrics.MetricRegistry;
-import io.mothrill.wire.http.HttpInput;
 import io.mothrill.wire.http.HttpReply;
+import io.mothrill.wire.http.HttpServerRequest;
 import io.mothrill.wire.http.HttpService;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
@@ -28,11 +28,11 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpInput input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
     return CompletableFuture.completedFuture(
         switch (input.path()) {
           case "/livez" -> HttpReply.text(OK, "ok\n");
-          case "/readyz" -> ReadyAnswer.of(unreadyReason.get());
+          case "/readyz" -> ReadinessResponse.of(unreadyReason.get());
           case "/metrics" -> HttpReply.text(OK, MetricsPage.render(metrics));
           default -> HttpReply.text(NOT_FOUND, "not found\n");
         });
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ReadyAnswer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ReadinessResponse.java
@@ -3,12 +3,12 @@
 import io.mothrill.wire.http.HttpReply;
 
 /** The answer to the question whether an instance takes requests. */
-public final class ReadyAnswer {
+public final class ReadinessResponse {
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
-  private ReadyAnswer() {}
+  private ReadinessResponse() {}
 
   /**
    * Makes the answer.
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
@@ -9,8 +9,8 @@
 import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.core.forward.upstream.UpstreamStatusReportSender;
 import io.mothrill.core.platform.InstanceRecord;
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.wire.peer.generated.Notice;
 import io.mothrill.wire.peer.generated.PromptNotice;
 import io.mothrill.wire.work.WorkMeter;
@@ -48,13 +48,13 @@
    * for longer is worth more of them: with seventy instances those of 7,000 tokens and more are
    * told, about 50 to 90 ms of an upstream's time.
    */
-  private static final long TOKENS_PER_TOLD = 100;
+  private static final long TOKENS_PER_RECIPIENT = 100;
 
   /**
    * Most instances that get a notice. With more, each would spend more on notices than a long
    * prompt costs.
    */
-  private static final int MAX_TOLD = 80;
+  private static final int MAX_RECIPIENTS = 80;
 
   /** Longer than any prompt that an upstream's memory could take. */
   private static final long MAX_TOKENS = 10_000_000;
@@ -79,7 +79,7 @@
       int port,
       Supplier<List<InstanceRecord>> others,
       NoticeListeners listeners,
-      WorkAccount work) {
+      WorkStats work) {
     this.others = others;
     this.host = host;
     this.channel =
@@ -103,8 +103,8 @@
 
   @Override
   public void send(String incarnation, long unreadTokens) {
-    List<InstanceRecord> told = told(others.get(), host);
-    if (unreadTokens < Math.max(MIN_TOKENS, TOKENS_PER_TOLD * told.size())) {
+    List<InstanceRecord> told = recipients(others.get(), host);
+    if (unreadTokens < Math.max(MIN_TOKENS, TOKENS_PER_RECIPIENT * told.size())) {
       return;
     }
     PromptNotice prompt =
@@ -119,7 +119,7 @@
 
   @Override
   public void send(UpstreamStatusReport report, List<InstanceRecord> to) {
-    send(Notice.newBuilder().setUpstream(FateNoticeCodec.write(report)).build(), to);
+    send(Notice.newBuilder().setUpstream(UpstreamNoticeCodec.write(report)).build(), to);
   }
 
   @Override
@@ -141,9 +141,9 @@
    * <p>Failure: all begin with the first one. Symptom: in a fleet with more instances than are
    * told, the last ones never hear of a prompt and send theirs to engines that are busy.
    */
-  static List<InstanceRecord> told(List<InstanceRecord> others, String host) {
+  static List<InstanceRecord> recipients(List<InstanceRecord> others, String host) {
     int first = others.isEmpty() ? 0 : Math.floorMod(host.hashCode(), others.size());
-    return IntStream.range(first, first + Math.min(MAX_TOLD, others.size()))
+    return IntStream.range(first, first + Math.min(MAX_RECIPIENTS, others.size()))
         .mapToObj(place -> others.get(place % others.size()))
         .toList();
   }
@@ -167,12 +167,12 @@
         Notice notice = Notice.parseFrom(ByteBufUtil.getBytes(packet.content()));
         listeners.hosts().accept(packet.sender().getAddress().getHostAddress());
         if (notice.hasPrompt()) {
-          take(notice.getPrompt());
+          handlePrompt(notice.getPrompt());
         } else if (notice.hasCrashes()) {
           CrashNoticeCodec.read(notice.getCrashes())
               .ifPresent(message -> listeners.crashes().accept(message, senderOf(packet)));
         } else if (notice.hasUpstream()) {
-          FateNoticeCodec.read(notice.getUpstream()).ifPresent(listeners.fates());
+          UpstreamNoticeCodec.read(notice.getUpstream()).ifPresent(listeners.statusReports());
         } else if (notice.hasLimit()) {
           LimitNoticeCodec.read(notice.getLimit()).ifPresent(listeners.limits());
         }
@@ -181,7 +181,7 @@
       }
     }
 
-    private void take(PromptNotice prompt) {
+    private void handlePrompt(PromptNotice prompt) {
       if (prompt.getUnreadTokens() >= 0 && prompt.getUnreadTokens() <= MAX_TOKENS) {
         listeners.prompts().send(prompt.getUpstreamId(), prompt.getUnreadTokens());
       }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
@@ -19,7 +19,7 @@
   /** Reads a report; empty when no instance of this release can have written it. */
   static Optional<RateLimitReport> read(LimitNotice notice) {
     boolean possible =
-        notice.getIncarnation().length() <= FateNoticeCodec.MAX_NAME_CHARS
+        notice.getIncarnation().length() <= UpstreamNoticeCodec.MAX_NAME_CHARS
             && notice.getLimitPerS() >= 0
             && Double.isFinite(notice.getLimitPerS());
     return possible
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
@@ -6,8 +6,8 @@
 import io.mothrill.core.peer.PeerMessage;
 import io.mothrill.core.peer.error.PeerException;
 import io.mothrill.core.platform.InstanceRecord;
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.peer.generated.Envelope;
 import io.mothrill.wire.work.WorkMeter;
@@ -53,12 +53,13 @@
   private final PeerEncoder encoder;
   private final PeerDecoder decoder;
   private final PeerDispatcher dispatcher;
-  private final WorkAccount work;
+  private final WorkStats work;
   private final Bootstrap bootstrap;
   private final Channel listener;
-  private final ChannelGroup accepted = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Map<Address, CompletableFuture<Channel>> connections = new ConcurrentHashMap<>();
-  private final Map<Long, CompletableFuture<PeerMessage>> waiting = new ConcurrentHashMap<>();
+  private final Map<Long, CompletableFuture<PeerMessage>> pendingReplies =
+      new ConcurrentHashMap<>();
   private final AtomicLong nextId = new AtomicLong();
 
   /**
@@ -79,7 +80,7 @@
       PeerDispatcher dispatcher,
       String host,
       int port,
-      WorkAccount work) {
+      WorkStats work) {
     this.group = group;
     this.encoder = encoder;
     this.decoder = decoder;
@@ -108,7 +109,7 @@
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(SocketChannel channel) {
-        accepted.add(channel);
+        channels.add(channel);
         channel
             .pipeline()
             .addLast(new WorkMeter(work, WorkKind.PEER))
@@ -136,7 +137,7 @@
     Address to = new Address(peer.host(), peer.peerPort());
     long id = nextId.incrementAndGet();
     CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
-    waiting.put(id, reply);
+    pendingReplies.put(id, reply);
     Envelope envelope = encoder.encode(request).setCorrelationId(id).build();
     var timeout =
         group.schedule(() -> fail(id, peer, to, "timeout"), timeoutMs, TimeUnit.MILLISECONDS);
@@ -159,7 +160,7 @@
   }
 
   private void failWith(long id, Address to, PeerException error) {
-    CompletableFuture<PeerMessage> reply = waiting.remove(id);
+    CompletableFuture<PeerMessage> reply = pendingReplies.remove(id);
     if (reply != null) {
       CompletableFuture<Channel> suspect = connections.remove(to);
       if (suspect != null) {
@@ -199,7 +200,7 @@
   /** Stops listening and closes all connections. */
   public void close() {
     listener.close().syncUninterruptibly();
-    accepted.close();
+    channels.close();
   }
 
   private final class EnvelopeHandler extends SimpleChannelInboundHandler<Envelope> {
@@ -207,7 +208,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, Envelope envelope) {
       if (envelope.getReply()) {
-        CompletableFuture<PeerMessage> reply = waiting.remove(envelope.getCorrelationId());
+        CompletableFuture<PeerMessage> reply = pendingReplies.remove(envelope.getCorrelationId());
         if (reply != null) {
           reply.complete(decoder.decode(envelope));
         }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
@@ -13,14 +13,14 @@
  *
  * @param prompts gets those about prompts
  * @param crashes gets those about requests under which upstreams crash, and where an answer goes
- * @param fates gets those about upstreams that have ended or are out of reach
+ * @param statusReports gets those about upstreams that have ended or are out of reach
  * @param limits gets those about upstreams that name a limit
  * @param hosts gets the IP address of each instance that sent one
  */
 public record NoticeListeners(
     PromptNoticeSender prompts,
     BiConsumer<CrashMessage, InstanceRecord> crashes,
-    Consumer<UpstreamStatusReport> fates,
+    Consumer<UpstreamStatusReport> statusReports,
     Consumer<RateLimitReport> limits,
     Consumer<String> hosts) {
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerDecoder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerDecoder.java
@@ -106,7 +106,7 @@
 
   private static PeerMessage decodeSole(Envelope envelope) {
     return switch (envelope.getBodyCase()) {
-      case SOLE_CLAIM -> new PeerMessage.SoleRequest(sole(envelope.getSoleClaim()));
+      case SOLE_CLAIM -> new PeerMessage.SoleRequest(soleClaim(envelope.getSoleClaim()));
       case SOLE_REPLY ->
           new PeerMessage.SoleReply(
               UnrepeatableClaims.Outcome.valueOf(envelope.getSoleReply().getOutcome()));
@@ -131,11 +131,11 @@
 
   private static RangeContent content(io.mothrill.wire.peer.generated.RangeContent content) {
     return new RangeContent(
-        content.getClaimsList().stream().map(PeerDecoder::sole).toList(),
+        content.getClaimsList().stream().map(PeerDecoder::soleClaim).toList(),
         content.getRunsList().stream().map(PeerDecoder::finish).toList());
   }
 
-  private static SoleClaim sole(io.mothrill.wire.peer.generated.SoleClaim claim) {
+  private static SoleClaim soleClaim(io.mothrill.wire.peer.generated.SoleClaim claim) {
     return new SoleClaim(key(claim.getKey()), claim.getRequestId());
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
@@ -104,7 +104,7 @@
 
   private static void encodeSole(Envelope.Builder envelope, PeerMessage message) {
     if (message instanceof PeerMessage.SoleRequest request) {
-      envelope.setSoleClaim(sole(request.claim()));
+      envelope.setSoleClaim(soleClaim(request.claim()));
     } else if (message instanceof PeerMessage.SoleReply reply) {
       envelope.getSoleReplyBuilder().setOutcome(reply.outcome().name());
     } else if (message instanceof PeerMessage.SoleRelease release) {
@@ -134,12 +134,12 @@
 
   private static io.mothrill.wire.peer.generated.RangeContent content(RangeContent content) {
     var builder = io.mothrill.wire.peer.generated.RangeContent.newBuilder();
-    content.claims().forEach(claim -> builder.addClaims(sole(claim)));
+    content.claims().forEach(claim -> builder.addClaims(soleClaim(claim)));
     content.runs().forEach(run -> builder.addRuns(finish(run)));
     return builder.build();
   }
 
-  private static io.mothrill.wire.peer.generated.SoleClaim sole(SoleClaim claim) {
+  private static io.mothrill.wire.peer.generated.SoleClaim soleClaim(SoleClaim claim) {
     return io.mothrill.wire.peer.generated.SoleClaim.newBuilder()
         .setKey(key(claim.key()))
         .setRequestId(claim.requestId())
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/FateNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/UpstreamNoticeCodec.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** Writes reports about upstreams, and reads those of others. */
-final class FateNoticeCodec {
+final class UpstreamNoticeCodec {
 
   /** The longest key that a row of the platform's table may have, with a start behind it. */
   static final int MAX_NAME_CHARS = 230;
@@ -15,7 +15,7 @@
   private static final int MAX_HOST_CHARS = 45;
   private static final int MAX_PORT = 65_535;
 
-  private FateNoticeCodec() {}
+  private UpstreamNoticeCodec() {}
 
   static UpstreamNotice write(UpstreamStatusReport report) {
     return UpstreamNotice.newBuilder()
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
@@ -5,7 +5,7 @@
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.http.HttpClient;
 import io.mothrill.wire.http.HttpReply;
-import io.mothrill.wire.http.WholeAnswer;
+import io.mothrill.wire.http.ResponseAggregator;
 import io.mothrill.wire.json.Json;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
@@ -30,9 +30,11 @@
   }
 
   CompletableFuture<HttpReply> call(HttpMethod method, String path, byte[] body) {
-    return WholeAnswer.of(http, platform, method, path, new DefaultHttpHeaders(), body, timeoutMs)
+    return ResponseAggregator.of(
+            http, platform, method, path, new DefaultHttpHeaders(), body, timeoutMs)
         .thenApply(reply -> checked(path, reply))
-        .exceptionallyCompose(error -> CompletableFuture.failedFuture(CallFailure.of(path, error)));
+        .exceptionallyCompose(
+            error -> CompletableFuture.failedFuture(PlatformErrorMapper.map(path, error)));
   }
 
   private static HttpReply checked(String path, HttpReply reply) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/CallFailure.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
@@ -10,9 +10,9 @@
  * <p>A call that was never sent has surely done nothing; one that was sent may have been carried
  * out though its answer is lost.
  */
-public final class CallFailure {
+public final class PlatformErrorMapper {
 
-  private CallFailure() {}
+  private PlatformErrorMapper() {}
 
   /**
    * Turns an error.
@@ -21,7 +21,7 @@
    * @param error what the call ended with, wrapped or not
    * @return the platform layer's error; one that is not the HTTP layer's stays as it is
    */
-  public static Throwable of(String path, Throwable error) {
+  public static Throwable map(String path, Throwable error) {
     Throwable cause = Failures.unwrap(error);
     if (!(cause instanceof HttpException broken)) {
       return cause;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/time/NettyTimers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/time/NettyTimers.java
@@ -46,7 +46,8 @@
   @Override
   public Subscription after(long delayMs, Runnable task) {
     Future<?> future =
-        executors.schedule(() -> guarded(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
+        executors.schedule(
+            () -> runLoggingErrors(task), Math.max(0, delayMs), TimeUnit.MILLISECONDS);
     return () -> future.cancel(false);
   }
 
@@ -54,12 +55,12 @@
   public Subscription every(long periodMs, Runnable task) {
     Future<?> future =
         executors.scheduleWithFixedDelay(
-            () -> guarded(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
+            () -> runLoggingErrors(task), periodMs, periodMs, TimeUnit.MILLISECONDS);
     return () -> future.cancel(false);
   }
 
   /** A repeated task that throws would never run again. */
-  private static void guarded(Runnable task) {
+  private static void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException ex) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/HttpUpstreamClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/HttpUpstreamClient.java
@@ -56,7 +56,7 @@
             call.body().forUpstream(call.maxOutputTokens()),
             call.freshConnection(),
             call.stallMs());
-    HttpClient.Handle handle = http.send(sent, new Sink(call, listener));
+    HttpClient.Handle handle = http.send(sent, new ResponseSink(call, listener));
     return new UpstreamExchange() {
       @Override
       public void cancel() {
@@ -70,12 +70,12 @@
     };
   }
 
-  private final class Sink implements HttpSink {
+  private final class ResponseSink implements HttpSink {
     private final UpstreamCall call;
     private final UpstreamListener listener;
     private final UsageReader usage;
 
-    Sink(UpstreamCall call, UpstreamListener listener) {
+    ResponseSink(UpstreamCall call, UpstreamListener listener) {
       this.call = call;
       this.listener = listener;
       this.usage = new UsageReader(call.streamed());
@@ -125,17 +125,17 @@
     @Override
     public void onBody(byte[] bytes) {
       usage.read(bytes);
-      listener.onPiece(bytes, usage.usage());
+      listener.onChunk(bytes, usage.usage());
     }
 
     @Override
     public void onEnd() {
       usage.finish();
-      if (!usage.isWhole()) {
+      if (!usage.isComplete()) {
         fail(Kind.BROKEN, "the stream ended early");
         return;
       }
-      listener.onPiece(new byte[0], usage.usage());
+      listener.onChunk(new byte[0], usage.usage());
       listener.onEnd();
     }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
@@ -32,7 +32,7 @@
   }
 
   /** Says whether a stream ended as it should, so that a truncated one is not taken for whole. */
-  boolean isWhole() {
+  boolean isComplete() {
     return !streamed || doneSeen;
   }
 
@@ -78,10 +78,11 @@
     } catch (InvalidInputException ex) {
       return;
     }
-    JsonNode told = event.path("usage");
-    if (told.isObject()) {
+    JsonNode reported = event.path("usage");
+    if (reported.isObject()) {
       usage =
-          new Usage(told.path("prompt_tokens").asLong(), told.path("completion_tokens").asLong());
+          new Usage(
+              reported.path("prompt_tokens").asLong(), reported.path("completion_tokens").asLong());
     } else if (streamed && event.path("choices").size() > 0) {
       usage = new Usage(usage.promptTokens(), usage.outputTokens() + 1);
     }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
@@ -1,7 +1,7 @@
 package io.mothrill.wire.work;
 
-import io.mothrill.core.work.WorkAccount;
 import io.mothrill.core.work.WorkKind;
+import io.mothrill.core.work.WorkStats;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufHolder;
 import io.netty.channel.ChannelDuplexHandler;
@@ -14,7 +14,7 @@
  */
 public final class WorkMeter extends ChannelDuplexHandler {
 
-  private final WorkAccount work;
+  private final WorkStats work;
   private final WorkKind kind;
 
   /**
@@ -23,7 +23,7 @@
    * @param work gets the figures
    * @param kind what the connection is for
    */
-  public WorkMeter(WorkAccount work, WorkKind kind) {
+  public WorkMeter(WorkStats work, WorkKind kind) {
     this.work = work;
     this.kind = kind;
   }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerEdgeTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class CallerEdgeTest {
+class CallerServerTest {
 
   private static final int MAX_BODY_BYTES = 1_000;
   private static final String KEY = "branch.secret";
@@ -39,8 +39,8 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final Node node = node();
-  private final CallerEdge edge =
-      new CallerEdge(
+  private final CallerServer edge =
+      new CallerServer(
           group,
           "127.0.0.1",
           0,
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
@@ -6,7 +6,7 @@
 import io.mothrill.core.forward.upstream.UpstreamStatus;
 import io.mothrill.core.forward.upstream.UpstreamStatusReport;
 import io.mothrill.core.platform.InstanceRecord;
-import io.mothrill.core.work.WorkAccount;
+import io.mothrill.core.work.WorkStats;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -52,7 +52,7 @@
             heardFates::add,
             heardLimits::add,
             host -> {}),
-        new WorkAccount());
+        new WorkStats());
   }
 
   private DatagramNotices speaker(int port, int peerCount) {
@@ -63,7 +63,7 @@
         0,
         () -> Collections.nCopies(peerCount, peer),
         NoticeListeners.ofCrashes((message, sender) -> {}),
-        new WorkAccount());
+        new WorkStats());
   }
 
   private static int freePort() throws Exception {
@@ -109,7 +109,7 @@
 
     Map<InstanceRecord, Long> heardFrom =
         fleet.stream()
-            .flatMap(speaker -> DatagramNotices.told(fleet, speaker.host()).stream())
+            .flatMap(speaker -> DatagramNotices.recipients(fleet, speaker.host()).stream())
             .collect(Collectors.groupingBy(heard -> heard, Collectors.counting()));
 
     assertThat(heardFrom.keySet()).containsExactlyElementsIn(fleet);
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/ForeignNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/MalformedNoticesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What comes to the port for notices from anyone but an instance does no harm. */
-class ForeignNoticesTest {
+class MalformedNoticesTest {
 
   private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 9);
 
