--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ConcurrentRenewals.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ConcurrentRenewals.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * The renewals that are under way: several may read at the same time, one writes.
+ * Coordinates the renewals in flight: several may read at the same time, but only one writes.
  *
- * <p>Failure: a connection to the store goes silent while new ones work. Symptom: if the next
- * renewal waited for the one that hangs, the row would be older by its time-out, and a crash would
- * cost the more. So a round that reads for long is left alone, and another one reads beside it.
+ * <p>A connection to the store may stall while new ones work. If the next renewal waited for a
+ * stalled one, the row would age by the length of the timeout, and a crash would cost accordingly
+ * more tokens. A renewal whose read takes too long is therefore left alone, and another one reads
+ * at the same time.
  */
 final class ConcurrentRenewals {
 
@@ -35,18 +36,21 @@
       this.readingSinceMs = nowMs;
     }
 
-    /** Completes with true when the row is renewed, by this round or by another one. */
+    /**
+     * Returns a future that completes with true when the row is renewed, by this renewal or by
+     * another one.
+     */
     CompletableFuture<Boolean> result() {
       return result;
     }
 
-    /** True for the first caller, which carries the round out. */
+    /** Returns true to the first caller only, which then performs the renewal. */
     boolean tryStart() {
       return started.compareAndSet(false, true);
     }
   }
 
-  /** Gives the round that whoever needs a renewal now waits for: one under way, or a new one. */
+  /** Returns the renewal to wait for: one that is in flight, or a new one. */
   synchronized Renewal join() {
     if (writing != null) {
       return writing;
@@ -61,13 +65,16 @@
     return renewal.reading && timers.nowMs() - renewal.readingSinceMs > stalledMs;
   }
 
-  /** Notes that a round begins to read. */
+  /** Called when a renewal starts to read. */
   synchronized void onReadStarted(Renewal renewal) {
     renewal.reading = true;
     renewal.readingSinceMs = timers.nowMs();
   }
 
-  /** Says whether a round that has read may write: no other does, or has since it began to read. */
+  /**
+   * Checks whether a renewal may write after its read, and marks it as the writer: no other renewal
+   * may be writing, or have written since this read started.
+   */
   synchronized boolean tryStartWrite(Renewal renewal) {
     renewal.reading = false;
     if (writing != null || renewal.readingSinceMs < lastWriteMs) {
@@ -77,7 +84,7 @@
     return true;
   }
 
-  /** Notes that a round's write, or its read, has ended. */
+  /** Called when a renewal's write has ended, or its read without a write. */
   synchronized void onAttemptEnded(Renewal renewal, boolean written) {
     renewal.reading = false;
     if (writing == renewal) {
@@ -86,7 +93,7 @@
     }
   }
 
-  /** Ends a round. */
+  /** Completes a renewal. */
   void end(Renewal renewal, boolean renewed) {
     synchronized (this) {
       newest = newest == renewal ? null : newest;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Demand.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Demand.java
@@ -1,17 +1,23 @@
 package io.mothrill.core.forward.spending;
 
-/** Follows how fast a team spends here: its peaks, up quickly and down slowly, and its average. */
+/**
+ * Tracks how fast a team spends at this instance: a peak rate, which rises quickly and falls
+ * slowly, and an average rate.
+ */
 final class Demand {
 
-  /** Weight of the newest second while demand grows, so that a burst is seen within two. */
+  /** Weight of the newest second while the rate rises: a burst shows within two seconds. */
   private static final double RISE_WEIGHT = 0.5;
 
-  /** The same while it falls: about ten seconds, so that a pause does not give all away. */
+  /**
+   * Weight of the newest second while the rate falls, over about ten seconds, so that the instance
+   * does not give up all its tokens in a short pause.
+   */
   private static final double FALL_WEIGHT = 0.1;
 
   private static final double MS_PER_S = 1_000;
 
-  /** Weight of the newest second in the average: about the last ten count. */
+  /** Weight of the newest second in the average, which covers about the last ten seconds. */
   private static final double AVERAGE_WEIGHT = 0.15;
 
   private volatile double peakTokensPerS;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/DemandSharePolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/DemandSharePolicy.java
@@ -1,31 +1,33 @@
 package io.mothrill.core.forward.spending;
 
 /**
- * Shares nearly all of what is left, by demand.
+ * Assigns nearly all of a team's remaining tokens to instances, by demand.
  *
- * <p>Tokens that lie at an instance cost nothing while it lives, and after a crash only the opened
- * part of them is lost; so it pays to hold what a long cut may need. A little stays in the table
- * for instances that are new or in sudden need.
+ * <p>Held tokens cost nothing while an instance runs, and a crash loses only the part that its
+ * bound has released. An instance therefore holds what a long store outage may require. A small
+ * part stays unassigned for new instances and for sudden demand.
  *
- * <p>The fewer usual requests an equal share covers, the more stays in the table: requests differ
- * in size, and with many instances a share of one or two of them is often too little for the next.
+ * <p>The fewer typical requests an equal share covers, the more stays unassigned: request sizes
+ * differ, and with many instances a share of one or two requests is often too small for the next
+ * one.
  *
- * <p>Failure: the last tokens lie in pieces, each smaller than a request. Symptom: every instance
- * refuses a request that all of them together could serve. When an equal share would not cover one
- * usual request, nothing is held ahead of need, so that the next request finds all of it.
+ * <p>If an equal share would not cover one typical request, nothing is held in advance, so that the
+ * next request can use all that remains. The last tokens would otherwise be split into parts that
+ * are smaller than a request, and every instance would refuse a request that all of them together
+ * could serve.
  */
 public final class DemandSharePolicy implements SharePolicy {
 
-  /** Share that stays in the table at least. */
+  /** Minimum fraction that stays unassigned in the table. */
   private static final double MIN_UNASSIGNED_FRACTION = 0.08;
 
-  /** Least part of the shares that is equal, so that new demand meets some tokens. */
+  /** Minimum fraction that is shared equally, so that new demand finds some tokens. */
   private static final double MIN_EQUAL_FRACTION = 0.25;
 
-  /** Demand remembers the requests of about so many seconds, counted by its peaks. */
+  /** Time for which the demand estimate, which follows peaks, reflects past requests. */
   private static final double DEMAND_MEMORY_S = 5;
 
-  /** Remembered requests of an instance at which its demand counts as much as an equal share. */
+  /** Recent requests per instance at which demand has the same weight as an equal share. */
   private static final double HALF_WEIGHT_REQUESTS = 4;
 
   @Override
@@ -45,11 +47,12 @@
   }
 
   /**
-   * Gives the part of the shares that does not follow demand.
+   * Returns the fraction that is shared equally instead of by demand.
    *
-   * <p>Failure: each of many instances gets a request of the team now and then. Symptom: tokens
-   * follow those that happened to be asked last, and the next request comes to another one, which
-   * holds too little. The fewer requests an instance can remember, the less its demand tells.
+   * <p>If each of many instances receives only an occasional request of the team, shares by demand
+   * would move the tokens to the instances that received the latest requests, and the next request
+   * would reach an instance that holds too little. The fewer recent requests there are per
+   * instance, the less weight demand has.
    */
   private static double equalFraction(Input input) {
     double requestsPerS =
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ExpiringSet.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ExpiringSet.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Remembers for a time that something was seen of a team or an instance. */
+/** A set of team or instance names whose entries expire after a fixed time. */
 final class ExpiringSet {
 
   private final Timers timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/GrantCalculator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/GrantCalculator.java
@@ -1,70 +1,88 @@
 package io.mothrill.core.forward.spending;
 
-/** Works out the next grant of one team for this instance from what the table shows. */
+/** Calculates this instance's next grant for a team from the contents of the table. */
 final class GrantCalculator {
 
-  /** What is near covers this much of the demand: the time from one renewal to the next. */
+  /** Seconds of demand that the immediate tokens cover at least: the time between two renewals. */
   private static final double MIN_IMMEDIATE_S = 1.0;
 
-  /** Requests of the usual size that fit into what is near, so that few need a renewal. */
+  /**
+   * Typical requests that the immediate tokens cover at least, so that few requests need a renewal.
+   */
   private static final double MIN_IMMEDIATE_REQUESTS = 1;
 
   /**
-   * What may be near in a large fleet of a budget that has much left, in seconds of the demand:
-   * demand comes in bursts, and the next row takes half a second and more where many instances
-   * renew theirs. In a small fleet it takes some hundredths of a second.
+   * Seconds of demand that the immediate tokens may cover in a large fleet while much of the budget
+   * remains. Demand comes in bursts, and the next row takes half a second or more where many
+   * instances renew theirs; in a small fleet it takes some tens of milliseconds.
    */
   private static final double MAX_IMMEDIATE_S = 3;
 
-  /** The same in requests of the usual size: a long prompt costs several of them. */
+  /**
+   * Typical requests that the immediate tokens may cover in a large fleet: a long prompt costs
+   * several of them.
+   */
   private static final double MAX_IMMEDIATE_REQUESTS = 3;
 
   /**
-   * Part of what a team has left that all its holders together may have near: what a loss of power
-   * of all instances costs it at the most, beside one usual request for each holder.
+   * Share of a team's remaining tokens that all its holders together may have as immediate tokens.
+   * It limits what a power loss of all instances costs the team, in addition to one typical request
+   * for each holder.
    */
   private static final double MAX_IMMEDIATE_SHARE = 0.04;
 
   /**
-   * Usual size of a request before the first one has shown it: a middling prompt with its output.
-   * Were much less near, an instance that no caller of the team has met yet could not serve the
-   * first one while the store is away; with 16,000, each loss of power of all instances costs more
-   * than that saves.
+   * Typical request size before the first request: a medium-sized prompt with its output. With much
+   * fewer immediate tokens, an instance that has not served the team yet could not serve the first
+   * request while the store is unreachable; with 16,000, each power loss of all instances costs
+   * more than that saves.
    */
   private static final long DEFAULT_TYPICAL_TOKENS = 6_000;
 
   /**
-   * At first the bound opens as fast as tokens are spent on average: a crash of all instances loses
-   * no more than the time until their successors have begun.
+   * Rate of the slow release, relative to average demand. At this rate a crash of all instances
+   * loses no more than the average demand until their successors start.
    */
   private static final double SLOW_RELEASE_DEMAND_FACTOR = 1.0;
 
-  /** In a long silence it opens faster than tokens are spent on average, for demand in bursts. */
+  /** Rate of the fast release, relative to average demand; it leaves room for bursts. */
   private static final double FAST_RELEASE_DEMAND_FACTOR = 2.0;
 
-  /** What bursts add may open so large a part of what a team has left in a second at the most. */
+  /** Share of a team's remaining tokens that the fast release may add for bursts in one second. */
   private static final double MAX_FAST_RELEASE_SHARE_PER_S = 0.05;
 
-  /** So much of it opens in any case, for a team that had no demand before the silence. */
+  /**
+   * Share of a team's remaining tokens that the fast release always adds per second, for teams that
+   * had no demand before the renewals stopped.
+   */
   private static final double MIN_FAST_RELEASE_SHARE_PER_S = 0.005;
 
   /**
-   * The bound opens by this many usual requests in a second at least, for teams that ask seldom.
+   * Minimum rate of the slow release in typical requests per second, for teams that send requests
+   * rarely.
    */
   private static final double SLOW_RELEASE_REQUESTS_PER_S = 0.25;
 
-  /** A share that is off by less than this part is left as it is, to save conflicts. */
+  /**
+   * Relative deviation from the target below which held tokens are left unchanged, to avoid
+   * conflicts.
+   */
   private static final double TOLERANCE = 0.2;
 
   private static final long TOLERANCE_TOKENS = 2_000;
 
-  /** A holding that is less than this part of its share does not wait for its turn. */
+  /**
+   * Held tokens below this fraction of their target are changed without waiting for a rebalancing.
+   */
   private static final double MIN_HELD_FRACTION = 0.3;
 
-  /** A holding of so many usual requests waits in any case: a larger request asks for itself. */
+  /**
+   * Held tokens that cover this many typical requests always wait for a rebalancing: a larger
+   * request asks for the tokens that it needs.
+   */
   private static final long SUFFICIENT_REQUESTS = 2;
 
-  /** With so many others an equal share of a budget is of the size of a few requests. */
+  /** Number of peers from which an equal share of a budget is as small as a few requests. */
   static final int LARGE_FLEET_INSTANCES = 20;
 
   private final SharePolicy policy;
@@ -76,21 +94,21 @@
   /**
    * What the table and this instance show about a team.
    *
-   * @param prepaidTokens all that the team may ever spend
+   * @param prepaidTokens all tokens that the team may ever spend
    * @param grantedTokens the sum of all instances' limits
    * @param ownLimitTokens this instance's limit in the table
-   * @param peersSpentTokens what the other instances that renew their rows have spent by now
-   * @param peersDemandTokensPerS how fast they spend at their peaks
-   * @param peerCount how many they are
-   * @param inactiveLimitTokens the limits of those that do not renew theirs
-   * @param demandTokensPerS how fast this instance spends at its peaks
-   * @param averageTokensPerS how fast it spends on average
-   * @param typicalTokens the usual size of a request
-   * @param wantedTokens what requests are waiting for; 0 when none is
-   * @param holder true when this instance has the team's tokens ready for its failure domain
-   * @param holderCount how many instances do so for a domain each
-   * @param mayRebalance true when the holding may follow small changes of its share
-   * @param returningAll true when nothing is to be held any more
+   * @param peersSpentTokens the tokens that active peers, which renew their rows, have spent by now
+   * @param peersDemandTokensPerS the peak rate at which active peers spend
+   * @param peerCount the number of active peers
+   * @param inactiveLimitTokens the limits of peers that do not renew their rows
+   * @param demandTokensPerS the peak rate at which this instance spends
+   * @param averageTokensPerS the average rate at which this instance spends
+   * @param typicalTokens the typical size of a request; 0 before the first one
+   * @param wantedTokens the tokens that requests are waiting for; 0 when there are none
+   * @param holder true when this instance is the team's holder for its failure domain
+   * @param holderCount the number of holders, one in each failure domain
+   * @param mayRebalance true when the held tokens may follow small changes of their target
+   * @param returningAll true when no tokens may be held any longer
    */
   record TeamState(
       long prepaidTokens,
@@ -121,7 +139,7 @@
       return peersDemandTokensPerS + demandTokensPerS;
     }
 
-    /** The usual size of a request, or a guess before the first one. */
+    /** Returns the typical size of a request, or a default before the first one. */
     long typicalOrDefaultTokens() {
       return typicalTokens == 0 ? DEFAULT_TYPICAL_TOKENS : typicalTokens;
     }
@@ -135,7 +153,7 @@
     }
   }
 
-  /** Shapes a grant; without {@code mayChange} the limit stays as it is in the table. */
+  /** Calculates a grant; unless {@code mayChange} is set, the limit stays as it is in the table. */
   SpendingGrant calculate(TeamState state, long spentTokens, boolean mayChange) {
     if (!mayChange) {
       return calculate(state, spentTokens, held(state, spentTokens));
@@ -166,10 +184,10 @@
   }
 
   /**
-   * Gives how fast the bound opens in a long silence.
+   * Returns the rate of the fast release.
    *
-   * <p>What has opened counts as spent if the process ends before the store is back, so no more
-   * opens than is likely to be used, also where demand has just fallen.
+   * <p>Released tokens count as spent if the process ends before the store is reachable again. No
+   * more is therefore released than is likely to be used, even if demand has just fallen.
    */
   private static double fastReleaseTokensPerS(TeamState state, long spentTokens) {
     double average = state.averageTokensPerS();
@@ -180,12 +198,13 @@
   }
 
   /**
-   * Gives what a holder has near.
+   * Returns the immediate tokens of a holder.
    *
-   * <p>Failure: all instances lose power, and what is near counts as spent though it was not.
-   * Symptom: a team that has little left is refused though it has paid. Failure the other way: what
-   * is near is less than the next request. Symptom: the request waits for a row and its answer is
-   * late. So much is near while much is left, and the least that serves while little is.
+   * <p>When all instances lose power, their immediate tokens count as spent although they were not,
+   * and a team that has little left is refused tokens that it has paid for. If the immediate tokens
+   * are fewer than the next request needs, that request waits for the next row and its answer is
+   * late. A holder therefore has ample immediate tokens while much of the budget remains, and the
+   * minimum when little remains.
    */
   private static long immediateTokens(TeamState state, long spentTokens) {
     long typical = state.typicalOrDefaultTokens();
@@ -211,11 +230,12 @@
   }
 
   /**
-   * Says whether a holding is kept though its share is another.
+   * Checks whether the held tokens may stay as they are although the target differs.
    *
-   * <p>Failure: many instances follow every change of their shares at the same time. Symptom: they
-   * change the same rows, nearly all their writes conflict, and no row is renewed. Small changes
-   * are followed in turn, of which instances have fewer the more of them there are.
+   * <p>If many instances followed every change of their targets at the same time, they would change
+   * the same rows, nearly all their writes would conflict, and no row would be renewed. Small
+   * changes are therefore followed only when this instance rebalances, which is rarer the more
+   * instances there are.
    */
   private static boolean mayKeep(TeamState state, long held, long target) {
     if (state.isOverGranted() || target == 0) {
@@ -233,9 +253,10 @@
   }
 
   /**
-   * Gives the share to hold. In a large fleet only the holders have one: split among all, it would
-   * be pieces smaller than a request. In a small one the others hold some too, which opens only in
-   * a long silence, for when their holder is lost as well.
+   * Returns the number of tokens to hold. In a large fleet only the holders have a share: split
+   * among all instances, the shares would be smaller than a request. In a small fleet the other
+   * instances hold tokens too, in case their holder is lost as well; these are released only by the
+   * fast release.
    */
   private long target(TeamState state, long spentTokens) {
     if (state.isLargeFleet() && !state.holder()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
@@ -10,12 +10,12 @@
 import org.tinylog.Logger;
 
 /**
- * One instance's row: its grants of all teams, renewed together.
+ * One instance's row in the table: its grants for all teams, which are renewed together.
  *
- * @param sentAtStoreMs when it was sent, by the store's clock, or a little earlier
- * @param host where other instances reach it; empty when it takes no calls of theirs
+ * @param sentAtStoreMs when the row was sent, by the store's clock, or slightly earlier
+ * @param host the address for other instances; empty when the instance accepts no peer connections
  * @param peerPort the TCP port for other instances
- * @param domain its failure domain; empty when it does not say so
+ * @param domain the instance's failure domain; empty when it is unknown
  * @param grants the grants by team
  */
 public record InstanceSpending(
@@ -25,7 +25,7 @@
     String domain,
     Map<String, SpendingGrant> grants) {
 
-  /** A row that does not exist. */
+  /** The value for a row that does not exist. */
   public static final InstanceSpending NONE = new InstanceSpending(0, "", 0, "", Map.of());
 
   private static final String HOST = "host";
@@ -36,28 +36,28 @@
   private static final String TEAM_PREFIX = "team.";
   private static final String SEPARATOR = ",";
 
-  /** Six whole numbers of up to 18 digits. */
+  /** Six integers of up to 18 digits. */
   private static final Pattern GRANT = Pattern.compile("\\d{1,18}(,\\d{1,18}){5}");
 
-  /** Takes a copy of the grants. */
+  /** Copies the grants. */
   public InstanceSpending {
     grants = Map.copyOf(grants);
   }
 
   /**
-   * Gives the grant of a team.
+   * Returns the grant of a team.
    *
    * @param team the team's name
-   * @return its grant, or one under which nothing may be spent
+   * @return its grant, or {@link SpendingGrant#NONE} under which nothing may be spent
    */
   public SpendingGrant grantOf(String team) {
     return grants.getOrDefault(team, SpendingGrant.NONE);
   }
 
   /**
-   * Settles the row of a dead instance.
+   * Closes the row of an instance whose process has ended.
    *
-   * @param nowStoreMs the store's clock, read after the instance died
+   * @param nowStoreMs the store's clock, read after the process ended
    * @return a row under which nothing more may be spent
    */
   public InstanceSpending closedAt(long nowStoreMs) {
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Writes the row's cells.
+   * Returns the row's cells.
    *
-   * @return one cell for each team
+   * @return the cells, with one for each team
    */
   public Cells toCells() {
     Cells.Builder cells = Cells.builder();
@@ -83,9 +83,9 @@
   }
 
   /**
-   * Reads a row.
+   * Reads a row from its cells.
    *
-   * @param cells the row's cells; none for a row that does not exist
+   * @param cells the row's cells; empty for a row that does not exist
    * @return the row
    */
   public static InstanceSpending read(Cells cells) {
@@ -121,12 +121,12 @@
   }
 
   /**
-   * Reads a grant; empty for one that no instance has written. That is safe: its limit stays in the
-   * sum of the team's row, so nobody else gets those tokens.
+   * Parses a grant; empty if the text was not written by an instance. Ignoring such a grant is
+   * safe: its limit stays in the sum of the team's row, so no other instance gets those tokens.
    */
   private static Optional<SpendingGrant> readGrant(String text) {
     if (!GRANT.matcher(text).matches()) {
-      Logger.error("grant not understood text={}", text);
+      Logger.error("invalid grant ignored text={}", text);
       return Optional.empty();
     }
     long[] numbers = Arrays.stream(text.split(SEPARATOR)).mapToLong(Long::parseLong).toArray();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Loan.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Loan.java
@@ -4,7 +4,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Tokens that another instance counts as spent, so that this one may spend them. */
+/**
+ * Tokens borrowed from another instance, which counts them as spent so that this instance may spend
+ * them.
+ */
 final class Loan {
 
   private final InstanceRecord lender;
@@ -20,7 +23,7 @@
     return lender;
   }
 
-  /** Sets aside as many tokens as are left, at most what is asked for. */
+  /** Reserves up to the requested number of tokens from the rest of this loan. */
   PartialReservation reserveUpTo(long tokens) {
     reservationCount.incrementAndGet();
     long taken = takeUpTo(tokens);
@@ -44,7 +47,7 @@
     return takeUpTo(Long.MAX_VALUE);
   }
 
-  /** Says whether nothing is left and nothing can come back. */
+  /** Checks whether no tokens remain and no reservation can return any. */
   boolean isSettled() {
     return reservationCount.get() == 0 && remainingTokens.get() == 0;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/LocalTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/LocalTokens.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** The tokens that this instance can set aside at once: its own and what is left of loans. */
+/** The tokens that this instance can reserve immediately: its own and the rest of its loans. */
 final class LocalTokens {
 
   private final SpendingState state;
@@ -14,7 +14,7 @@
     this.loans = loans;
   }
 
-  /** Gives what one request lacks beside them, one token at least. */
+  /** Returns how many tokens a request lacks beyond those available locally, but at least one. */
   long missingTokens(String team, long tokens) {
     long available =
         state.find(team).map(TeamSpending::availableTokens).orElse(0L)
@@ -22,14 +22,14 @@
     return Math.max(1, tokens - available);
   }
 
-  /** Sets tokens aside if enough of them are ready. */
+  /** Reserves tokens if enough of them are available locally. */
   Optional<SpendingReservation> tryReserve(String team, long tokens) {
     return tryReserveOwn(team, tokens)
         .or(() -> tryReserveCombined(team, tokens))
         .map(LocalTokens::settleOnce);
   }
 
-  /** Puts together what is left here and what is left of loans. */
+  /** Combines the available own tokens with the rest of the loans. */
   private Optional<SpendingReservation> tryReserveCombined(String team, long tokens) {
     return state
         .find(team)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PartialReservation.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PartialReservation.java
@@ -1,17 +1,17 @@
 package io.mothrill.core.forward.spending;
 
 /**
- * A part of what one request needs, set aside at one place.
+ * A part of a request's tokens, reserved from one source.
  *
- * @param tokens how many
- * @param reservation ends it; to be told at most as many used tokens
+ * @param tokens the number of tokens
+ * @param reservation settles this part, with at most this number of used tokens
  */
 record PartialReservation(long tokens, SpendingReservation reservation) {
 
-  /** A place that has nothing. */
+  /** The result of a source that has no tokens. */
   static final PartialReservation NONE = new PartialReservation(0, SpendingReservation.UNLIMITED);
 
-  /** Gives all back. */
+  /** Returns all tokens of this part. */
   void cancel() {
     reservation.settle(0);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PeerSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PeerSpending.java
@@ -7,8 +7,8 @@
 /**
  * What the rows of the other instances show about each team.
  *
- * <p>The rows are added up in one pass: a renewal looks at every team, and passing over all rows
- * for each of them would take most of its time in a large fleet.
+ * <p>All rows are totalled in a single pass: a renewal looks at every team, and iterating over all
+ * rows for each team would take most of its time in a large fleet.
  */
 final class PeerSpending {
 
@@ -16,11 +16,11 @@
   private final int activeCount;
 
   /**
-   * Sums over the other instances.
+   * Totals over the other instances for one team.
    *
-   * @param spentTokens what those that renew their rows have spent by now
-   * @param demandTokensPerS how fast those spend at their peaks
-   * @param inactiveLimitTokens the limits of those that do not renew theirs
+   * @param spentTokens the tokens that active instances, which renew their rows, have spent by now
+   * @param demandTokensPerS the peak rate at which active instances spend
+   * @param inactiveLimitTokens the limits of instances that do not renew their rows
    */
   record Totals(long spentTokens, long demandTokensPerS, long inactiveLimitTokens) {
     private static final Totals NONE = new Totals(0, 0, 0);
@@ -34,11 +34,11 @@
   }
 
   /**
-   * Adds up rows.
+   * Totals the rows of the other instances.
    *
-   * @param active the rows of the others that renew them
-   * @param inactive the rows of the others that do not
-   * @param nowStoreMs now, by the store's clock
+   * @param active the rows of instances that renew them
+   * @param inactive the rows of instances that do not
+   * @param nowStoreMs the current time, by the store's clock
    */
   PeerSpending(List<InstanceSpending> active, List<InstanceSpending> inactive, long nowStoreMs) {
     this.activeCount = active.size();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ReservationBuilder.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ReservationBuilder.java
@@ -6,13 +6,13 @@
 import java.util.function.LongFunction;
 
 /**
- * Puts together what one request needs from several places.
+ * Combines one request's reservation from several sources.
  *
  * <pre>{@code
- * SpendingPieces pieces = new SpendingPieces(9_000);
- * pieces.addFrom(spending::reserveUpTo);   // 5,000 are left there
- * pieces.addFrom(loan::reserveUpTo);       // and 6,000 here, of which 4,000 are taken
- * Optional<SpendingReservation> whole = pieces.whole();
+ * ReservationBuilder builder = new ReservationBuilder(9_000);
+ * builder.addFrom(spending::reserveUpTo);   // 5,000 are available there
+ * builder.addFrom(loan::reserveUpTo);       // 4,000 of the 6,000 here are reserved
+ * Optional<SpendingReservation> reservation = builder.tryBuild();
  * }</pre>
  */
 final class ReservationBuilder {
@@ -24,7 +24,7 @@
     this.missingTokens = tokens;
   }
 
-  /** Adds what a place has of the tokens that are still missing. */
+  /** Reserves the tokens that are still missing from a source, as far as it has them. */
   void addFrom(LongFunction<PartialReservation> source) {
     if (missingTokens > 0) {
       PartialReservation part = source.apply(missingTokens);
@@ -37,7 +37,7 @@
     return missingTokens;
   }
 
-  /** Gives the whole, or hands all pieces back if it is less than was asked for. */
+  /** Returns the complete reservation, or cancels all parts if they are fewer than requested. */
   Optional<SpendingReservation> tryBuild() {
     if (missingTokens > 0) {
       parts.forEach(PartialReservation::cancel);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShareChangeSelector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShareChangeSelector.java
@@ -3,17 +3,18 @@
 import java.util.Set;
 
 /**
- * Says which teams' shares may change in one row.
+ * Selects the teams whose shares may change with one row.
  *
- * <p>Failure: there are more teams than one transaction can change, and the teams change in turn.
- * Symptom: a request waits for several renewals, until the turn has come to its team. So what
- * requests want goes first, and the turns share what is left.
+ * <p>There may be more teams than one transaction can change, so teams change in rotation. A
+ * request would wait for several renewals if it had to wait until the rotation reaches its team.
+ * Teams that requests are waiting for therefore go first, and the rotation uses the remaining
+ * slots.
  */
 final class ShareChangeSelector {
 
   /**
-   * Teams whose share may change in one transaction. Each takes two entries of the hundred that a
-   * transaction may have; the others keep their limits until their turn.
+   * Teams whose share may change in one transaction. Each takes two of the hundred entries that a
+   * transaction may have; the other teams keep their limits until the rotation reaches them.
    */
   static final int MAX_CHANGES = 40;
 
@@ -26,12 +27,12 @@
   private int position;
 
   /**
-   * Creates the choice for one row.
+   * Creates the selector for one row.
    *
-   * @param transfers what may move at all
-   * @param wantedTeams the teams that requests wait for
-   * @param teamCount all teams, which are asked about in the same order for each row
-   * @param rotationStart the place of the first team whose turn it is
+   * @param transfers the transfers that are allowed at all
+   * @param wantedTeams the teams that requests are waiting for
+   * @param teamCount the number of all teams, which are queried in the same order for each row
+   * @param rotationStart the index of the first team in rotation
    */
   ShareChangeSelector(
       AllowedTransfers transfers, Set<String> wantedTeams, int teamCount, int rotationStart) {
@@ -43,15 +44,15 @@
   }
 
   /**
-   * Which tokens may move between this instance and the teams' rows with the next row.
+   * The transfers that are allowed between this instance and the teams' rows with the next row.
    *
-   * @param any false when the teams' rows were not read, so that none may
-   * @param rebalance true when holdings may follow small changes of their shares
-   * @param returnAll true when all are handed back
+   * @param any false when the teams' rows were not read and nothing may be transferred
+   * @param rebalance true when held tokens may follow small changes of their target
+   * @param returnAll true when all tokens are returned
    */
   record AllowedTransfers(boolean any, boolean rebalance, boolean returnAll) {}
 
-  /** Says whether the share of the next team may change; to be asked once for each. */
+  /** Checks whether the share of the next team may change; must be called once for each team. */
   boolean mayChange(String team) {
     boolean inRotation = isInRotation(position++);
     if (!transfers.any()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SharePolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SharePolicy.java
@@ -1,16 +1,16 @@
 package io.mothrill.core.forward.spending;
 
-/** Decides how much of a team's unspent tokens an instance holds. */
+/** Decides how many of a team's unspent tokens an instance holds. */
 public interface SharePolicy {
 
   /**
-   * What a decision is made from.
+   * The input of a decision.
    *
-   * @param remainingTokens what the team has left that instances in touch can still use
-   * @param ownDemandTokensPerS how fast this instance spends
-   * @param allDemandTokensPerS how fast all instances in touch spend, this one included
-   * @param instanceCount the instances in touch, this one included
-   * @param typicalTokens the usual size of a request, or a guess before the first one
+   * @param remainingTokens the team's remaining tokens that active instances can still use
+   * @param ownDemandTokensPerS the rate at which this instance spends
+   * @param allDemandTokensPerS the rate at which all active instances spend, including this one
+   * @param instanceCount the number of active instances, including this one
+   * @param typicalTokens the typical size of a request, or a default before the first one
    */
   record Input(
       long remainingTokens,
@@ -20,10 +20,10 @@
       long typicalTokens) {}
 
   /**
-   * Decides.
+   * Returns the number of tokens that the instance should hold.
    *
-   * @param input the situation
-   * @return tokens to hold
+   * @param input the input
+   * @return the tokens to hold
    */
   long targetTokens(Input input);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShortageLog.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ShortageLog.java
@@ -8,14 +8,15 @@
 import org.tinylog.Logger;
 
 /**
- * Writes what was asked of table and peers for each team, what came of it and what was refused: a
- * line a second for each of the teams that lack most, and none while nothing is refused.
+ * Logs token shortages: for each team, the tokens requested from the table and from peers, the
+ * results and the refusals. It writes one line per second for each of the teams with the most
+ * refusals, and none while nothing is refused.
  */
 final class ShortageLog {
 
   private static final long PERIOD_MS = 1_000;
 
-  /** Teams that get a line in one period, so that a shortage of all teams does not fill the log. */
+  /** Teams logged in one period, so that a shortage of all teams does not flood the log. */
   private static final int MAX_LINES = 4;
 
   private final Map<String, Shortage> byTeam = new ConcurrentHashMap<>();
@@ -40,29 +41,29 @@
     return byTeam.computeIfAbsent(team, name -> new Shortage());
   }
 
-  /** Notes that a row was written that asked for tokens. */
+  /** Called when a row that requests tokens was written. */
   void onWritten(String team, long wantedTokens, long gotTokens) {
     Shortage shortage = of(team);
     shortage.wantedTokens.add(wantedTokens);
     shortage.gotTokens.add(gotTokens);
   }
 
-  /** Notes that a row that asked for tokens was not written. */
+  /** Called when a row that requests tokens was not written because of a conflict. */
   void onConflict(String team) {
     of(team).conflictCount.increment();
   }
 
-  /** Notes that another instance was asked and had nothing ready. */
+  /** Called when another instance was asked for a loan and had nothing available. */
   void onNothingLent(String team) {
     of(team).emptyCount.increment();
   }
 
-  /** Notes that another instance was asked and did not answer in time. */
+  /** Called when another instance was asked for a loan and did not answer in time. */
   void onUnanswered(String team) {
     of(team).unansweredCount.increment();
   }
 
-  /** Notes that a request was refused. */
+  /** Called when a request was refused. */
   void onRefused(String team, long neededTokens, TeamTokens tokens) {
     Shortage shortage = of(team);
     shortage.refusedCount.increment();
@@ -73,12 +74,12 @@
     }
   }
 
-  /** Counts the refusals since the start. */
+  /** Returns the number of refusals since the start. */
   long refusedCount() {
     return refusedCount.sum();
   }
 
-  /** Counts those of them that what the table had unassigned would have covered. */
+  /** Returns the number of those refusals that the table's unassigned tokens would have covered. */
   long refusedThoughUnassignedCount() {
     return refusedThoughUnassignedCount.sum();
   }
@@ -94,7 +95,7 @@
 
   private static void write(String team, Shortage shortage) {
     Logger.info(
-        "tokens short team={} refused={} wantedTokens={} gotTokens={} conflicts={} empty={}"
+        "token shortage team={} refused={} wantedTokens={} gotTokens={} conflicts={} empty={}"
             + " unanswered={}: {}",
         team,
         shortage.refusedCount.sum(),
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
@@ -15,7 +15,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Keeps this instance's row of grants renewed and sets tokens aside under it.
+ * Renews this instance's row of grants and reserves tokens under it.
  *
  * <pre>{@code
  * spending.reserve(team, 1_540)
@@ -24,7 +24,10 @@
  */
 public final class SpendingController {
 
-  /** A renewal that takes longer, once it is sent, shows that the store is slow or silent. */
+  /**
+   * A renewal that takes longer than this after it was sent shows that the store is slow or
+   * unreachable.
+   */
   private static final long SLOW_RENEWAL_MS = 150;
 
   private final Timeouts timeouts;
@@ -37,19 +40,19 @@
   private final TableRefill refill = new TableRefill();
 
   /**
-   * Creates the controller and starts to renew.
+   * Creates the controller and starts to renew the row.
    *
    * @param self this instance; a later process on the same machine has the same id
    * @param table the platform's table
    * @param storeClock the clock of the table's store
-   * @param plan the plan in force
-   * @param policy how the unspent tokens are shared
-   * @param timers the time
-   * @param startedMs when this process had begun, by the clock of the timers; an earlier process of
-   *     the same instance was dead by then
-   * @param random spreads attempts after conflicts
-   * @param links reaches other instances
-   * @param dispatcher gets their requests
+   * @param plan the current plan
+   * @param policy decides how unspent tokens are shared
+   * @param timers the timers and clock of this process
+   * @param startedMs when this process started, by the clock of the timers; an earlier process of
+   *     the same instance had ended by then
+   * @param random randomizes the backoff after conflicts
+   * @param links the connections to other instances
+   * @param dispatcher receives the messages of other instances
    */
   public SpendingController(
       InstanceRecord self,
@@ -77,16 +80,16 @@
   }
 
   /**
-   * Gives the instances that have renewed their rows lately, this one included.
+   * Returns the number of instances that have recently renewed their rows, including this one.
    *
-   * @return a count; 0 until the table was read
+   * @return the count; 0 until the table was read
    */
   public int instanceCount() {
     return state.instanceCount();
   }
 
   /**
-   * Says whether the instance has a row of its own in the table.
+   * Checks whether this instance has a row of its own in the table.
    *
    * @return false until the first row was written
    */
@@ -95,37 +98,37 @@
   }
 
   /**
-   * Says how old the own row is.
+   * Returns the age of this instance's row.
    *
-   * @return milliseconds since it was last renewed; very many when it never was
+   * @return milliseconds since the last renewal; a very large number if there was none
    */
   public long renewalAgeMs() {
     return renewal.renewalAgeMs();
   }
 
   /**
-   * Gives what is held of a team's budget here and not spent yet.
+   * Returns the tokens of a team's budget that this instance holds and has not spent.
    *
    * @param team the team
-   * @return tokens, some of which may open only later
+   * @return tokens, some of which may be released only later
    */
   public long heldTokens(String team) {
     return state.heldTokens(team);
   }
 
   /**
-   * Gives what no instance's limit covers of a team's budget.
+   * Returns the unassigned tokens of a team's budget, which are granted to no instance.
    *
    * @param team the team
-   * @return tokens by the last read of the table
+   * @return tokens according to the last read of the table
    */
   public long unassignedTokens(TeamPlan team) {
     return state.tokensOf(team).unassignedTokens();
   }
 
   /**
-   * Gives what counted as spent at the start, though the last row of the process before did not
-   * show it as spent.
+   * Returns the tokens that were counted as spent at the start although the last row of the
+   * previous process did not show them as spent.
    *
    * @return tokens of all teams
    */
@@ -134,7 +137,7 @@
   }
 
   /**
-   * Counts the requests that were refused for tokens.
+   * Returns the number of requests refused for lack of tokens.
    *
    * @return a count since the start
    */
@@ -143,7 +146,7 @@
   }
 
   /**
-   * Counts the refused requests that what the table had unassigned would have covered.
+   * Returns the number of refused requests that the table's unassigned tokens would have covered.
    *
    * @return a count since the start
    */
@@ -152,26 +155,26 @@
   }
 
   /**
-   * Lists the other instances that have renewed their rows lately.
+   * Returns the other instances that have recently renewed their rows.
    *
-   * @return the instances, in the order of their ids
+   * @return the instances, ordered by id
    */
   public List<InstanceRecord> peers() {
     return state.peers();
   }
 
   /**
-   * Says whether {@link #peers()} holds for this moment: it was read when it was due, and this
-   * process has been there for as long as others need to read of it.
+   * Checks whether {@link #peers()} is current: the last full read is not overdue, and this process
+   * has been running long enough for other instances to have read its row.
    *
-   * @return false after the start, and while the store is out of reach
+   * @return false after the start and while the store is unreachable
    */
   public boolean isFleetViewCurrent() {
     return reader.isFullReadCurrent(startedMs);
   }
 
   /**
-   * Sets tokens aside.
+   * Reserves tokens.
    *
    * @param team the team
    * @param tokens the most that the request can cost
@@ -184,10 +187,13 @@
     return reserver.reserve(team, tokens);
   }
 
-  /** Gets more for loans, unless the store is out of reach. */
+  /** Gets more tokens for loans, unless the store is unreachable. */
   private final class TableRefill implements SpendingLoans.Refill {
 
-    /** The holders of all domains are asked and open a part each, together what was lacking. */
+    /**
+     * Requests a part of the missing tokens: the holders of all domains are asked, and together
+     * they make up the shortage.
+     */
     @Override
     public void requestWithNextRenewal(String team, long missingTokens) {
       if (renewal.isStoreReachable() && !renewal.isReturningAll()) {
@@ -220,7 +226,8 @@
   }
 
   /**
-   * Hands back all tokens that are not spent; to be called when no request is under way any more.
+   * Returns all unspent tokens to the table; to be called when no requests are in flight any
+   * longer.
    *
    * @return completes when the row was written, or could not be
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.spending;
 
-/** Tokens could not be set aside for a request, which therefore does not run. */
+/** Thrown when tokens cannot be reserved for a request, which is therefore not executed. */
 public final class SpendingException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -15,12 +15,13 @@
   }
 
   /**
-   * The team has too little left, as a read of the whole table has just shown.
+   * Creates the exception for a team that has too few tokens left, as a recent full read of the
+   * table has shown.
    *
    * @param team the team
-   * @param leftTokens what it has left
-   * @param neededTokens what the request needs
-   * @return the error
+   * @param leftTokens the tokens that remain
+   * @param neededTokens the tokens that the request needs
+   * @return the exception
    */
   public static SpendingException budgetSpent(String team, long leftTokens, long neededTokens) {
     return new SpendingException(
@@ -28,13 +29,14 @@
   }
 
   /**
-   * The team may have enough, but this instance cannot spend it now.
+   * Creates the exception for a team that may have enough tokens, but not available to this
+   * instance now.
    *
    * @param team the team
-   * @param neededTokens what the request needs
+   * @param neededTokens the tokens that the request needs
    * @param state what this instance holds and since when
-   * @param retryAfterMs when tokens can be there
-   * @return the error
+   * @param retryAfterMs when tokens may be available
+   * @return the exception
    */
   public static SpendingException notAvailableHere(
       String team, long neededTokens, String state, long retryAfterMs) {
@@ -45,18 +47,18 @@
   }
 
   /**
-   * Says whether the budget itself is spent.
+   * Checks whether the budget itself is spent.
    *
-   * @return false when the tokens are only not here
+   * @return false when the tokens are only not available here
    */
   public boolean isBudgetSpent() {
     return budgetSpent;
   }
 
   /**
-   * Says when tokens can be there.
+   * Returns when tokens may be available.
    *
-   * @return milliseconds
+   * @return milliseconds from now
    */
   public long retryAfterMs() {
     return retryAfterMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
@@ -19,33 +19,42 @@
 import org.tinylog.Logger;
 
 /**
- * Lends and borrows tokens between instances, where the table cannot move them or not soon enough.
+ * Lends and borrows tokens between instances when the table cannot move them, or not soon enough.
  *
- * <p>A lender sets what it lends aside as if it had spent it, below its own bound. So whoever reads
- * its row after a crash counts the loan as spent, and the budget holds whatever becomes of lender,
- * borrower and the messages between them; a lost message strands tokens, and nothing more.
+ * <p>A lender reserves the tokens of a loan as if it had spent them, below its own bound. A reader
+ * of its row after a crash therefore counts the loan as spent, and the budget holds whatever
+ * happens to the lender, the borrower and their messages. A lost message only leaves tokens unused.
  */
 final class SpendingLoans {
 
-  /** A peer nearby answers within some milliseconds; one that does not is cut off or busy. */
+  /**
+   * Timeout for a lender: a nearby peer answers within some milliseconds; one that does not is
+   * partitioned or busy.
+   */
   private static final long ANSWER_MS = 150;
 
-  /** Peers that are asked for one request, one after the other. */
+  /** Maximum number of peers that are asked one after the other for one request. */
   private static final int MAX_LENDERS_ASKED = 3;
 
-  /** Pause after a team found no lender, so that a spent budget costs few messages. */
+  /** Pause after no lender was found for a team, so that a spent budget causes few messages. */
   private static final long NO_LENDER_PAUSE_MS = 200;
 
-  /** A reply that comes later than the borrower waits is still taken, and handed back. */
+  /**
+   * Timeout of a message. A reply that arrives after the borrower has stopped waiting is still
+   * accepted, and its tokens are returned.
+   */
   private static final long LATE_ANSWER_MS = 2_000;
 
-  /** A holder that has just not answered is passed over for so long, and the table is asked. */
+  /** Time for which a holder that did not answer is skipped; the table is asked instead. */
   private static final long UNRESPONSIVE_PEER_PAUSE_MS = 1_000;
 
-  /** A lender that makes more ready answers after its renewal, which is paced in a large fleet. */
+  /**
+   * Timeout for a lender that gets more tokens first: it answers after its renewal, which is
+   * delayed in a large fleet.
+   */
   private static final long REFILL_ANSWER_MS = 1_000;
 
-  /** Part of what a lender has over that one loan may take. */
+  /** One loan may take the available tokens of the lender divided by this number. */
   private static final long MAX_LOAN_DIVISOR = 2;
 
   private final PeerLinks links;
@@ -82,25 +91,27 @@
     dispatcher.on(PeerMessage.HandBack.class, this::onLoanReturned);
   }
 
-  /** Gets tokens from the table for a loan that is larger than what is ready here. */
+  /** Gets tokens from the table for a loan that exceeds the available tokens. */
   interface Refill {
 
-    /** Has so much more ready with the next row, if the store is in reach. */
+    /** Requests this many more immediate tokens with the next row, if the store is reachable. */
     void requestWithNextRenewal(String team, long missingTokens);
 
     /**
-     * Asks for tokens; completes with true when the own row was renewed and shows all that the
-     * table can give, and with false when it was not in time. Gives nothing out of touch.
+     * Requests tokens. Completes with true when the own row was renewed and shows all that the
+     * table can give, and with false when it was not renewed in time. Empty if the store is
+     * unreachable.
      */
     Optional<CompletableFuture<Boolean>> refill(String team, long needTokens);
   }
 
   /**
-   * Lends what is ready, and has more ready with the next row if it was too little.
+   * Lends the available tokens, and requests more with the next row if they were too few.
    *
-   * <p>Failure: a team's demand moves to a domain whose holder has used what it held, while those
-   * of the other domains hold much and have little of it ready. Symptom: second after second its
-   * requests find each of them empty. What was lacking shows how much more has to be ready.
+   * <p>When a team's demand moves to a domain whose holder has used its tokens, the holders of the
+   * other domains hold many tokens but few that are immediate, and the team's requests find each of
+   * them without available tokens second after second. The shortage determines how many more tokens
+   * must be immediate.
    */
   private CompletableFuture<PeerMessage> lend(PeerMessage.BorrowRequest request) {
     return request.mayGrow() ? lendWithRefill(request) : lendAvailable(request);
@@ -164,24 +175,24 @@
     return CompletableFuture.completedFuture(new PeerMessage.Done());
   }
 
-  /** Adds what is left of loans to what a request needs. */
+  /** Adds the rest of a team's loans to a request's reservation. */
   void addTo(ReservationBuilder builder, String team) {
     loans.getOrDefault(team, List.of()).forEach(loan -> builder.addFrom(loan::reserveUpTo));
   }
 
-  /** Gives what is left of a team's loans. */
+  /** Returns the remaining tokens of a team's loans. */
   long remainingTokens(String team) {
     return loans.getOrDefault(team, List.of()).stream().mapToLong(Loan::remainingTokens).sum();
   }
 
   /**
-   * Borrows tokens, together with whoever asks for the same team meanwhile.
+   * Borrows tokens; calls for the same team that arrive meanwhile share one round of messages.
    *
    * @param team the team
-   * @param needTokens what is lacking, from one lender or several
-   * @param wantedTokens as much as would be good from each
-   * @param lenders whom to ask, in order
-   * @return completes when the lenders were asked, whatever they gave
+   * @param needTokens the missing tokens, from one lender or several
+   * @param wantedTokens the preferred amount from each lender
+   * @param lenders the instances to ask, in order
+   * @return completes when the lenders were asked, whatever they lent
    */
   CompletableFuture<Void> borrow(
       String team, long needTokens, long wantedTokens, List<InstanceRecord> lenders) {
@@ -206,11 +217,11 @@
   }
 
   /**
-   * Puts together what one request lacks from what the holders of its team have ready.
+   * Borrows the tokens that one request lacks from the available tokens of its team's holders.
    *
    * @param team the team
-   * @param needTokens what is lacking
-   * @param holders whom to ask, in order, until nothing is lacking
+   * @param needTokens the missing tokens
+   * @param holders the instances to ask, in order, until nothing is missing
    * @return completes when enough was lent or all were asked
    */
   CompletableFuture<Void> borrowAvailable(
@@ -223,13 +234,13 @@
   }
 
   /**
-   * Puts together what one request lacks from all that the holders of its team have, also what is
-   * not ready yet, and from what the table has left.
+   * Borrows the tokens that one request lacks from all that its team's holders have, including
+   * tokens that are not released yet, and from the unassigned tokens in the table.
    *
    * @param team the team
-   * @param needTokens what is lacking
-   * @param holders whom to ask, in order, until nothing is lacking
-   * @return what is still lacking then
+   * @param needTokens the missing tokens
+   * @param holders the instances to ask, in order, until nothing is missing
+   * @return the tokens that are still missing afterwards
    */
   CompletableFuture<BorrowOutcome> borrowWithRefill(
       String team, long needTokens, List<InstanceRecord> holders) {
@@ -250,7 +261,7 @@
     return outcome;
   }
 
-  /** Asks one lender after the other. */
+  /** Asks the lenders one after the other. */
   private CompletableFuture<BorrowOutcome> ask(
       String team,
       long needTokens,
@@ -277,11 +288,11 @@
   }
 
   /**
-   * What came of asking for one request's tokens.
+   * The result of borrowing tokens for one request.
    *
-   * @param missingTokens what is still lacking
-   * @param exhausted true when all were asked and answered that neither they nor the table have
-   *     more
+   * @param missingTokens the tokens that are still missing
+   * @param exhausted true when all lenders were asked and answered that neither they nor the table
+   *     have more
    */
   record BorrowOutcome(long missingTokens, boolean exhausted) {
 
@@ -289,17 +300,23 @@
       return new BorrowOutcome(missingTokens, exhausted && alsoExhausted);
     }
 
-    /** Says whether there is surely not enough, and not only taken by another request meanwhile. */
+    /**
+     * Checks whether there are definitely too few tokens, and not only because another request has
+     * taken them meanwhile.
+     */
     boolean isInsufficient() {
       return exhausted && missingTokens > 0;
     }
   }
 
-  /** What one lender gave, and whether it said that there is no more. */
+  /** The tokens that one lender lent, and whether it reported that there are no more. */
   private record LenderAnswer(long tokens, boolean exhausted) {
     private static final LenderAnswer NONE = new LenderAnswer(0, false);
 
-    /** The lender did not answer, or could not renew: the store may be out of reach for all. */
+    /**
+     * Checks whether the lender did not answer or could not renew its row: the store may be
+     * unreachable for all instances.
+     */
     private boolean isInconclusive() {
       return tokens == 0 && !exhausted;
     }
@@ -308,9 +325,10 @@
   /**
    * Asks one lender and waits only as long as a request can.
    *
-   * <p>Failure: the lender's answer is late, for one of both machines is slow. Symptom: the lender
-   * counts the tokens as spent and nobody has them. A late loan is therefore taken when it comes,
-   * and what is left of it goes back with the next renewal.
+   * <p>A lender's answer may arrive too late when one of the two machines is slow. If it were
+   * discarded, the lender would count the tokens as spent and no instance could use them. A late
+   * loan is therefore accepted when it arrives, and the rest of it is returned after the next
+   * renewal.
    */
   private CompletableFuture<LenderAnswer> askOne(
       InstanceRecord lender, PeerMessage.BorrowRequest request) {
@@ -328,7 +346,7 @@
         .exceptionally(
             error -> {
               recordUnanswered(lender, request);
-              Logger.debug("no loan from {}: {}", lender.id(), Failures.unwrap(error).getMessage());
+              Logger.debug("loan request to {} failed: {}", lender.id(), Failures.unwrap(error).getMessage());
               return LenderAnswer.NONE;
             })
         .thenAccept(borrowed::complete);
@@ -363,20 +381,20 @@
   }
 
   /**
-   * Hands back what is left of all loans, as the table can give tokens again.
+   * Returns the rest of all loans, because the table can grant tokens again.
    *
-   * <p>Each rest is sent once: a second message after a lost reply would be taken twice.
+   * <p>Each rest is sent once: a second message after a lost reply would be counted twice.
    */
   void returnUnspent() {
     loans.keySet().forEach(this::returnUnspent);
   }
 
   /**
-   * Hands back what is left of a team's loans.
+   * Returns the rest of a team's loans.
    *
-   * <p>Failure: several lenders gave a part of what a request needs, and together too little.
-   * Symptom: the parts lie unused at the borrower until the store is back, while other requests of
-   * the team are refused.
+   * <p>Several lenders may have given parts of a request's tokens that are too few together. These
+   * parts would otherwise stay unused at the borrower until the store is reachable again, while
+   * other requests of the team are refused.
    */
   void returnUnspent(String name) {
     loans.computeIfPresent(
@@ -407,7 +425,7 @@
             .exceptionally(
                 error -> {
                   Logger.warn(
-                      "tokens stranded team={} tokens={} lender={}: {}",
+                      "loan not returned team={} tokens={} lender={}: {}",
                       team,
                       tokens,
                       lender.id(),
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
@@ -11,24 +11,27 @@
 import java.util.stream.Stream;
 
 /**
- * Reads the rows about spending: what a renewal is written on each time, the rest now and then.
+ * Reads the rows about spending: those that a renewal depends on every time, and the others at
+ * longer intervals.
  *
- * <p>A renewal is safe if the own row and the rows of the teams are as new as its conditions say.
- * The rows of the other instances only say how to share and whom to ask, and there are many of
- * them: reading them all in each renewal would cost each instance more with every one that is
- * added.
+ * <p>A renewal is safe if the instance's own row and the rows of the teams are as current as the
+ * conditions of its transaction. The rows of the other instances only determine how to share tokens
+ * and whom to ask for loans, and there are many of them: reading all of them with each renewal
+ * would cost every instance more with each instance that is added.
  */
 final class SpendingReader {
 
   /**
-   * Rows of other instances that are read in a second, on average: a row of twenty teams has about
-   * a kilobyte, so this stays within the nine kilobytes a second that an instance may use.
+   * Average number of peer rows that are read per second. A row with twenty teams has about one
+   * kilobyte, so this stays within the nine kilobytes per second that an instance may use.
    */
   private static final int INSTANCE_ROWS_PER_S = 6;
 
   private static final long MS_PER_S = 1_000;
 
-  /** A read goes with a renewal, and one of those may fail. */
+  /**
+   * Grace period for an overdue full read: a read is part of a renewal, and one renewal may fail.
+   */
   private static final long FULL_READ_GRACE_MS = 2_500;
 
   private final TableService table;
@@ -46,9 +49,9 @@
   }
 
   /**
-   * Reads what the next row is written on; fails as the table does.
+   * Reads the rows that the next renewal depends on; fails as the table does.
    *
-   * @param withTeams true when the rows of teams may change with it
+   * @param withTeams true when the rows of teams may change with the renewal
    */
   CompletableFuture<SpendingTable.Snapshot> read(boolean withTeams) {
     return readNeeded(withTeams)
@@ -68,22 +71,26 @@
         : readOwn().thenApply(own -> latestSnapshot.withUpdated(own));
   }
 
-  /** Says how old the rows of the other instances are. */
+  /** Returns the age of the peers' rows, in milliseconds since the last full read. */
   long fullReadAgeMs() {
     return timers.nowMs() - fullReadMs;
   }
 
   /**
-   * Says whether the rows of the other instances were read about when they were due.
+   * Checks whether the last full read is not overdue.
    *
-   * @param sinceMs since when that has been so, or would have been
+   * @param sinceMs when this process started; the result is false until a full read interval and
+   *     the grace period have passed since then
    */
   boolean isFullReadCurrent(long sinceMs) {
     long dueMs = fullReadIntervalMs() + FULL_READ_GRACE_MS;
     return fullReadAgeMs() <= dueMs && timers.nowMs() - sinceMs >= dueMs;
   }
 
-  /** Slightly less than due, as renewals come at whole seconds of their own. */
+  /**
+   * Returns the interval between two full reads, slightly reduced because renewals come once per
+   * second.
+   */
   private long fullReadIntervalMs() {
     long pauseMs = latestSnapshot.instances().size() * MS_PER_S / INSTANCE_ROWS_PER_S;
     return pauseMs - MS_PER_S / 2;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
@@ -3,19 +3,21 @@
 import io.mothrill.core.forward.plan.TeamPlan;
 import java.util.Optional;
 
-/** Explains why tokens cannot be set aside, and when to come back. */
+/**
+ * Creates the exceptions for requests whose tokens cannot be reserved, with the time of a retry.
+ */
 final class SpendingRefusals {
 
   /**
-   * Age up to which the rows of the other instances show that a team has too little left: what they
-   * have spent since would only leave less.
+   * Maximum age at which the peers' rows prove that a team has too few tokens left: what the peers
+   * have spent since then can only reduce them.
    */
   private static final long MAX_EVIDENCE_AGE_MS = 3_000;
 
-  /** When to come back if other instances have to hand tokens back first. */
+  /** Retry delay when other instances have to return tokens first. */
   private static final long REBALANCE_RETRY_MS = 1_200;
 
-  /** Longest wait that is told to a caller. */
+  /** Maximum retry delay that is reported to a caller. */
   private static final long MAX_RETRY_AFTER_MS = 3_000;
 
   private final SpendingState state;
@@ -29,8 +31,8 @@
   }
 
   /**
-   * Gives the refusal of a request whose team cannot pay, as the last rows already show, so that
-   * its caller is told at once. Asking holders and table first could find no more.
+   * Returns the refusal of a request whose team has too few tokens according to the latest rows, so
+   * that it is refused immediately. Asking the holders and the table first could not find more.
    */
   Optional<SpendingException> ifBudgetSpent(TeamPlan team, long tokens) {
     Optional<SpendingException> refusal = budgetSpent(team, tokens);
@@ -53,10 +55,10 @@
   }
 
   /**
-   * Explains a refusal.
+   * Creates the refusal of a request.
    *
-   * <p>Only a renewal and a read of the whole table within the last seconds show that the team
-   * itself has too little; without them the caller is told to come back.
+   * <p>Only a renewal and a full read of the table within the last seconds prove that the team
+   * itself has too few tokens; otherwise the caller is asked to retry.
    */
   SpendingException refusalFor(TeamPlan team, long tokens) {
     TeamTokens tokenLocations = recordRefusal(team, tokens);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
@@ -12,58 +12,60 @@
 import java.util.random.RandomGenerator;
 import org.tinylog.Logger;
 
-/** Renews this instance's row: in each period, and when requests lack tokens. */
+/** Renews this instance's row periodically, and on demand when requests lack tokens. */
 final class SpendingRenewal {
 
-  /** How often the row is renewed: a crash loses what was near, which is sized for seconds. */
+  /** Renewal period. A crash loses the immediate tokens, which are sized for seconds of demand. */
   static final long PERIOD_MS = 1_000;
 
   /**
-   * How often it is looked whether a renewal is due.
+   * Interval at which it is checked whether a renewal is due.
    *
-   * <p>Failure: an instance that was cut off for long reaches the store for a second between two
-   * cuts, and its next attempt is due later. Symptom: its row shows what it had spent before the
-   * first cut, and if it dies, all that it held counts as spent: up to a tenth of a budget was seen
-   * to go that way. In a silence it tries four times a second.
+   * <p>Between two long outages, an instance may reach the store for only a second. If its next
+   * attempt were due later than that, its row would still show what it had spent before the first
+   * outage, and a crash would count all its held tokens as spent, up to a tenth of a budget. While
+   * the store is unreachable, the instance therefore tries four times a second.
    */
   private static final long DUE_CHECK_MS = 250;
 
-  /** The longest time from one renewal to the next while the store answers. */
+  /** Maximum time between two renewals while the store answers. */
   static final long MAX_PERIOD_MS = PERIOD_MS + DUE_CHECK_MS;
 
   /**
-   * A read that takes longer may hang on a connection that has gone silent: another one is begun
-   * beside it, and the first that is answered counts.
+   * Time after which a read may be stalled on a dead connection: another one is started, and the
+   * first that is answered counts.
    */
   private static final long STALLED_READ_MS = 240;
 
-  /** Least pause between two renewals that requests ask for, so that several share one. */
+  /** Minimum interval between two renewals on demand, so that several requests share one. */
   static final long MIN_ON_DEMAND_INTERVAL_MS = 40;
 
   /** Attempts of one renewal when other instances change the same rows at the same time. */
   private static final int MAX_ATTEMPTS = 8;
 
   /**
-   * Attempts that may move tokens; the others only renew the own row, which no one else changes.
+   * Attempts that may transfer tokens; the later ones only renew the own row, which no other
+   * instance changes.
    */
   private static final int TRANSFER_ATTEMPTS = 3;
 
-  /** Longest pause before the second of these attempts, doubled for each one after it. */
+  /** Maximum backoff before the second attempt, doubled for each further attempt. */
   private static final int CONFLICT_BACKOFF_MS = 40;
 
   /**
-   * Renewals that requests may ask for in one second, all instances together: a part of a table
-   * that writes each transaction in 5 ms takes 200, and conflicts need some of them.
+   * Maximum on-demand renewals per second of all instances together. A table partition that takes 5
+   * ms to write a transaction writes 200 per second, and retries after conflicts need some of them.
    */
   private static final long ON_DEMAND_WRITES_PER_S = 150;
 
   /**
-   * A renewal that is sent later than this comes too late for the request that asks for it. In a
-   * fleet of hundreds the pace allows one in seconds.
+   * Delay after which a renewal is too late for the request that asks for it. In a fleet of
+   * hundreds of instances, the rate limit allows each instance one on-demand renewal in several
+   * seconds.
    */
   private static final long MAX_ON_DEMAND_DELAY_MS = 700;
 
-  /** A renewal that took longer ago than this shows that the store is out of reach. */
+  /** Age of the row at which the store counts as unreachable. */
   private static final long STORE_REACHABLE_MS = 1_400;
 
   private static final long MS_PER_S = 1_000;
@@ -82,15 +84,15 @@
   private CompletableFuture<Boolean> scheduled;
 
   /**
-   * Starts to renew.
+   * Creates the renewal and starts its timers.
    *
    * @param table the platform's table
-   * @param reader reads what a renewal is written on
-   * @param state works out the next row
-   * @param plan the plan in force
-   * @param timers the time
-   * @param random spreads attempts after conflicts
-   * @param onRenewed runs after each row that was written
+   * @param reader reads the rows that a renewal depends on
+   * @param state calculates the next row
+   * @param plan the current plan
+   * @param timers the timers and clock of this process
+   * @param random randomizes the backoff after conflicts
+   * @param onRenewed called after each row that was written
    */
   SpendingRenewal(
       TableService table,
@@ -112,7 +114,7 @@
     timers.every(DUE_CHECK_MS, this::renewIfDue);
   }
 
-  /** Says how old the row is; very many milliseconds when none was written. */
+  /** Returns the age of the row in milliseconds; a very large number when none was written. */
   long renewalAgeMs() {
     return timers.nowMs() - renewedMs;
   }
@@ -121,21 +123,21 @@
     return returningAll.get();
   }
 
-  /** Renews with nothing held any more. */
+  /** Renews the row without holding any tokens. */
   CompletableFuture<Boolean> returnUnspentTokens() {
     returningAll.set(true);
     return renew();
   }
 
-  /** Says whether the store has answered lately. */
+  /** Checks whether the store has answered recently. */
   boolean isStoreReachable() {
     return renewalAgeMs() < STORE_REACHABLE_MS;
   }
 
   /**
-   * A renewal that a request has asked for.
+   * A renewal that was requested on demand.
    *
-   * @param delayMs how long it takes until it is sent
+   * @param delayMs the time until it is sent
    * @param renewed completes with true when it was written
    */
   record RequestedRenewal(long delayMs, CompletableFuture<Boolean> renewed) {
@@ -145,14 +147,17 @@
     }
   }
 
-  /** Asks for tokens with the next renewal. */
+  /** Requests tokens with the next renewal. */
   RequestedRenewal requestTokens(String team, long tokens) {
     long delayMs = onDemandDelayMs();
     state.wanted().add(team, tokens);
     return new RequestedRenewal(delayMs, renewSoon());
   }
 
-  /** Renews at once or when the pace allows it, together with whoever asks meanwhile. */
+  /**
+   * Renews immediately, or when the rate limit allows it; requests that ask meanwhile share the
+   * renewal.
+   */
   private CompletableFuture<Boolean> renewSoon() {
     return isDueNow() ? renewForRequests() : scheduledRenewal();
   }
@@ -181,7 +186,10 @@
     renewForRequests().thenAccept(renewed::complete);
   }
 
-  /** A renewal that was under way already does not bring what was asked for since it began. */
+  /**
+   * Renews a second time if tokens are still wanted: a renewal that was already in flight does not
+   * include tokens that were requested since it started.
+   */
   private CompletableFuture<Boolean> renewForRequests() {
     return renew()
         .thenCompose(
@@ -196,11 +204,11 @@
   }
 
   /**
-   * Gives the least pause between two renewals that requests ask for.
+   * Returns the minimum interval between two renewals on demand.
    *
-   * <p>Failure: each of many instances renews whenever a request lacks tokens. Symptom: writes
-   * queue at the table until most of them conflict, and no instance gets tokens any more. Together
-   * they stay below what the table takes.
+   * <p>If each of many instances renewed whenever a request lacks tokens, writes would queue at the
+   * table until most of them conflict, and no instance would get tokens any more. The interval
+   * keeps the renewals of all instances together below the capacity of the table.
    */
   private long minOnDemandIntervalMs() {
     return Math.max(
@@ -213,7 +221,7 @@
     }
   }
 
-  /** Renews the row, or joins the renewal that is under way. */
+  /** Renews the row, or joins the renewal in flight. */
   private CompletableFuture<Boolean> renew() {
     ConcurrentRenewals.Renewal renewal = renewals.join();
     if (renewal.tryStart()) {
@@ -222,7 +230,7 @@
     return renewal.result();
   }
 
-  /** Reads and writes; begins again when other instances have changed the rows in between. */
+  /** Reads and writes; retries when other instances have changed the rows in between. */
   private void attempt(int attemptsLeft, boolean rebalance, ConcurrentRenewals.Renewal renewal) {
     Map<String, Long> wanted = state.wanted().current();
     boolean mayTransfer =
@@ -265,19 +273,19 @@
   private enum Outcome {
     WRITTEN,
     CONFLICT,
-    /** Another round wrote, or writes, a row that is as new. */
+    /** Another renewal wrote, or is writing, a row that is as new. */
     SUPERSEDED,
     FAILED
   }
 
-  /** Drops what was asked for: in a long silence of the store it would add up. */
+  /** Drops the wanted tokens: they would accumulate during a long outage of the store. */
   private Outcome readFailed(Map<String, Long> wanted, Throwable error) {
     state.wanted().take(wanted);
     return failed(error);
   }
 
   private Outcome failed(Throwable error) {
-    Logger.debug("spending not renewed: {}", Failures.unwrap(error).getMessage());
+    Logger.debug("renewing the spending row failed: {}", Failures.unwrap(error).getMessage());
     return Outcome.FAILED;
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReservation.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReservation.java
@@ -1,16 +1,16 @@
 package io.mothrill.core.forward.spending;
 
-/** Tokens that are set aside for one request, until it is settled. */
+/** Tokens that are reserved for one request until it is settled. */
 @FunctionalInterface
 public interface SpendingReservation {
 
-  /** A reservation for requests that nothing limits. */
+  /** A reservation for requests without a budget. */
   SpendingReservation UNLIMITED = usedTokens -> {};
 
   /**
-   * Ends the reservation; calling it again has no effect.
+   * Settles the reservation; further calls have no effect.
    *
-   * @param usedTokens what is owed; the rest goes back
+   * @param usedTokens the tokens to charge; the rest is returned
    */
   void settle(long usedTokens);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
@@ -19,28 +19,37 @@
 import java.util.stream.Collectors;
 import org.tinylog.Logger;
 
-/** What this instance has spent of each team's budget, and the row that says so in the table. */
+/**
+ * What this instance has spent of each team's budget, and the calculation of the row that records
+ * it.
+ */
 final class SpendingState {
 
-  /** A row that was not renewed for this long belongs to an instance that is gone or cut off. */
+  /** Age of a row after which its instance counts as stopped or partitioned. */
   private static final long INACTIVE_AFTER_MS = 12_000;
 
-  /** Shorter spans say little about demand. */
+  /** Minimum interval of a demand measurement; shorter intervals are not meaningful. */
   private static final long MIN_DEMAND_INTERVAL_MS = 500;
 
   /**
-   * Instances that may follow small changes of their shares in one second, on average. Each changes
-   * the rows of most teams, which takes 15 to 25 ms from reading to writing, so few of them meet.
+   * Average number of instances that may follow small changes of their targets in one second. Each
+   * of them changes the rows of most teams, which takes 15 to 25 ms from read to write, so few of
+   * them conflict.
    */
   private static final double REBALANCES_PER_S = 12;
 
-  /** Rows of teams that were read so long ago still show that there is nothing to get. */
+  /** Maximum age at which the rows of teams prove that no tokens can be obtained. */
   private static final long MAX_TEAM_ROWS_AGE_MS = 500;
 
-  /** Part of a budget that only its holders have in a large fleet. */
+  /**
+   * Share of a budget beyond which an instance that is not a holder has too much in a large fleet.
+   */
   private static final double MAX_NON_HOLDER_SHARE = 0.02;
 
-  /** Odds of a turn for an instance that has more of a team though it is no holder. */
+  /**
+   * Probability of rebalancing for an instance that holds too much of a team's budget without being
+   * a holder.
+   */
   private static final double EXCESS_REBALANCE_PROBABILITY = 0.5;
 
   private final InstanceRecord self;
@@ -88,8 +97,8 @@
    * A row that is about to be sent.
    *
    * @param grants the grants in it, by team
-   * @param wantedTokens what requests wait for and it brings, by team
-   * @param transaction writes it, and the rows of teams whose share changes
+   * @param wantedTokens the tokens that requests are waiting for and that the row obtains, by team
+   * @param transaction writes the row, and the rows of teams whose share changes
    */
   record Proposal(
       Map<String, TeamSpending.SentGrant> grants,
@@ -112,7 +121,7 @@
     return instanceCount;
   }
 
-  /** Says who has tokens of each team ready. */
+  /** Returns the holders of each team. */
   TeamHolders holders() {
     return holders;
   }
@@ -121,15 +130,15 @@
     return demandOf(team).peakTokensPerS();
   }
 
-  /** Gives where a team's tokens are by the last read. */
+  /** Returns where a team's tokens are, according to the last read. */
   TeamTokens tokensOf(TeamPlan team) {
     return TeamTokens.of(snapshot, ownKey, team, storeClock.nowMs());
   }
 
   /**
-   * Says whether a renewal would bring nothing: neither this instance nor the table had a part of a
-   * request when the rows of the teams were last read. Of a team that came with a newer plan no row
-   * shows anything.
+   * Checks whether a renewal would be futile: according to the last read of the teams' rows,
+   * neither this instance nor the table had a useful part of a request. A team that was added by a
+   * newer plan has no row yet and proves nothing.
    */
   boolean isKnownInsufficient(String team, long neededTokens) {
     long unassigned = snapshot.unassignedTokens(team, prepaidTokens(plan, team).orElse(0));
@@ -143,12 +152,15 @@
     return plan.findTeam(team).map(TeamPlan::prepaidTokens).orElse(OptionalLong.empty());
   }
 
-  /** Says whether instances that are no holders of a team have what a request needs. */
+  /** Checks whether instances that are not holders of a team hold enough for a request. */
   boolean isHeldOutsideHolders(String team, long tokens) {
     return snapshot.heldOutsideHolders(ownKey, team, holders.holderIds(team)) >= tokens;
   }
 
-  /** Gives what counted as spent at the start though the row did not show it as spent. */
+  /**
+   * Returns the tokens that counted as spent at the start although the row did not show them as
+   * spent.
+   */
   long lostTokens() {
     return lostTokens;
   }
@@ -157,17 +169,20 @@
     return shortages;
   }
 
-  /** Lists whom to ask for a loan. */
+  /** Returns the instances to ask for a loan. */
   List<InstanceRecord> lenders(String team) {
     return snapshot.lenders(ownKey, team, holders.holderIds(team), random);
   }
 
-  /** Gives what requests wait for, which the next row asks for. */
+  /** Returns the tokens that requests are waiting for, which the next row will request. */
   WantedTokens wanted() {
     return wanted;
   }
 
-  /** Gives what a team has left by the last read, with what this instance has spent since. */
+  /**
+   * Returns a team's remaining tokens according to the last read, less what this instance has spent
+   * since.
+   */
   long remainingTokens(TeamPlan team, TeamSpending spending) {
     String name = team.name();
     long elsewhere =
@@ -176,10 +191,10 @@
   }
 
   /**
-   * Draws whether it is this instance's turn to follow small changes of its shares.
+   * Decides at random whether this instance may follow small changes of its targets.
    *
-   * <p>The first row of a process moves nothing: a whole fleet that starts would change the same
-   * rows at once.
+   * <p>The first row of a process transfers nothing: otherwise all instances of a fleet that starts
+   * would change the same rows at once.
    */
   boolean drawRebalance() {
     double probability =
@@ -190,9 +205,11 @@
   }
 
   /**
-   * Says whether this instance holds a good part of a team's budget in the place of its holders.
+   * Checks whether this instance holds a considerable part of a team's budget without being its
+   * holder.
    *
-   * <p>Nobody asks an instance that is no holder, so what it keeps is out of reach for the team.
+   * <p>Instances that are not holders are not asked for tokens, so what they keep is unavailable to
+   * the team.
    */
   private boolean holdsExcess() {
     return instanceCount > GrantCalculator.LARGE_FLEET_INSTANCES
@@ -203,18 +220,24 @@
                     heldTokens(team) > MAX_NON_HOLDER_SHARE * prepaidTokens(plan, team).orElse(0));
   }
 
-  /** Says whether tokens have to move for this, though it is not this instance's turn. */
+  /**
+   * Checks whether tokens must be transferred for these amounts even if this instance does not
+   * rebalance.
+   */
   boolean exceedsHeld(Map<String, Long> tokensByTeam) {
     return tokensByTeam.entrySet().stream()
         .anyMatch(entry -> entry.getValue() > heldTokens(entry.getKey()));
   }
 
-  /** Gives what is held of a team's budget and not spent yet; some of it may open only later. */
+  /**
+   * Returns the tokens of a team's budget that are held and not spent; some may be released only
+   * later.
+   */
   long heldTokens(String team) {
     return find(team).map(spending -> spending.limitTokens() - spending.spentTokens()).orElse(0L);
   }
 
-  /** Works out the next row from what was just read; spending stays below it from now on. */
+  /** Calculates the next row from the rows just read; spending stays below it from now on. */
   Proposal propose(
       SpendingTable.Snapshot newSnapshot,
       ForwardingPlan currentPlan,
@@ -258,8 +281,9 @@
   }
 
   /**
-   * Notes who else is there, which only a read of all rows can change. Ranking a hundred instances
-   * for dozens of teams with every renewal would take a small instance as long as its requests do.
+   * Updates the peers and holders, which change only with a full read. Ranking a hundred instances
+   * for dozens of teams with every renewal would take a small instance as much time as its requests
+   * do.
    */
   private void updatePeers(SpendingTable.Snapshot newSnapshot) {
     if (newSnapshot.fullReadAtStoreMs() == peersReadAtStoreMs) {
@@ -275,16 +299,16 @@
   }
 
   /**
-   * Continues with what an earlier process on this machine can have spent at the most.
+   * Continues with the most that a previous process on this machine can have spent.
    *
-   * <p>That process stayed below its row in force and below any that it had sent, so the row that
-   * is read bounds it, whether or not a late write replaces that row. The first own write is made
-   * on the condition that the row is as it was read; if it is not, the newer one tells more
-   * exactly.
+   * <p>That process stayed below its current row and below every row that it had sent, so the row
+   * that is read is an upper bound, whether or not a late write replaces it. The first write of
+   * this process is conditional on the row being unchanged; if it was replaced, the newer row is
+   * more precise.
    *
-   * <p>It was dead when this process began, so its bound counts up to then and not up to the read:
-   * a runtime takes most of a second to start, in which a bound that opens by 300,000 tokens a
-   * second over a fleet would burn as many.
+   * <p>The previous process had ended when this one started, so its bound is taken at that time and
+   * not at the time of the read: a runtime takes most of a second to start, in which a bound that
+   * rises by 300,000 tokens per second over a fleet would lose as many.
    */
   private void recoverPreviousProcess(SpendingTable.Snapshot newSnapshot) {
     InstanceSpending earlier = newSnapshot.instance(ownKey);
@@ -385,7 +409,7 @@
     teams.forEach((name, spending) -> demandOf(name).update(spending.takeUsedTokens(), elapsedMs));
   }
 
-  /** Notes that a row was written. */
+  /** Called when a row was written. */
   void confirm(Proposal proposal) {
     initialized = true;
     proposal.wantedTokens().forEach((name, wanted) -> recordReceived(proposal, name, wanted));
@@ -401,11 +425,11 @@
   }
 
   /**
-   * Notes that a row was surely not written.
+   * Called when a row was definitely not written.
    *
-   * <p>Failure: another instance has changed a team's row in between. Symptom: the next attempt no
-   * longer asks for what requests wait for, and they are refused though the table has room. So what
-   * they want is asked for again.
+   * <p>Another instance may have changed a team's row in between. The wanted tokens are requested
+   * again: otherwise the next attempt would not include them, and the waiting requests would be
+   * refused although the table has tokens.
    */
   void retract(Proposal proposal) {
     proposal.wantedTokens().keySet().forEach(shortages::onConflict);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTable.java
@@ -16,19 +16,19 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The rows about spending in the platform's table. */
+/** The layout of the rows about spending in the platform's table. */
 final class SpendingTable {
 
   static final String TABLE = "spending";
 
-  /** Rows of one read: an instance row each, and a row for each team. */
+  /** Maximum rows of one read: one for each instance, and one for each team. */
   static final int MAX_ROWS = 500;
 
   private static final String INSTANCE_PREFIX = "instance/";
   static final String TEAM_PREFIX = "team/";
   private static final String GRANTED = "granted";
 
-  /** More than any budget, and far from the largest number that sums may reach. */
+  /** More than any budget, and small enough that sums do not overflow. */
   private static final long FULLY_GRANTED_TOKENS = Long.MAX_VALUE / 4;
 
   private SpendingTable() {}
@@ -46,7 +46,7 @@
   }
 
   /**
-   * All rows as they are known.
+   * A snapshot of all rows, each as of its latest read.
    *
    * @param byKey the rows by key
    * @param instances the instances' rows, by key
@@ -71,13 +71,13 @@
       return new Snapshot(byKey, instances, wholeAtStoreMs, wholeAtStoreMs);
     }
 
-    /** Takes the rows of all teams, and others, in place of those that are known. */
+    /** Returns a snapshot updated with the rows of all teams, and others. */
     Snapshot withTeams(List<Row> rows, long readAtStoreMs) {
       Snapshot newer = withUpdated(rows);
       return new Snapshot(newer.byKey(), newer.instances(), fullReadAtStoreMs, readAtStoreMs);
     }
 
-    /** Takes newer rows in place of those that are known; the others stay as they are. */
+    /** Returns a snapshot updated with newer rows; all other rows stay as they are. */
     Snapshot withUpdated(List<Row> rows) {
       Snapshot newer = of(rows, fullReadAtStoreMs);
       Map<RowKey, Row> allRows = new HashMap<>(byKey);
@@ -102,11 +102,11 @@
     }
 
     /**
-     * Lists the other instances that can be reached: first the holders of the team, whose tokens
-     * open early, then those that hold much of it.
+     * Returns the reachable peers that hold tokens of a team: its holders first, whose tokens are
+     * released early, then those that hold many.
      *
-     * <p>Chance has a part in the order: many instances that lack tokens at the same time would ask
-     * the same one otherwise, and find it empty.
+     * <p>The order is partly random: otherwise many instances that lack tokens at the same time
+     * would ask the same peer and exhaust it.
      */
     List<InstanceRecord> lenders(
         RowKey ownKey, String team, Set<String> holderIds, RandomGenerator random) {
@@ -127,7 +127,7 @@
           .toList();
     }
 
-    /** Gives what other instances hold of a team's budget, but for its holders. */
+    /** Returns the tokens of a team's budget that peers other than its holders hold. */
     long heldOutsideHolders(RowKey ownKey, String team, Set<String> holderIds) {
       return instances.entrySet().stream()
           .filter(entry -> !entry.getKey().equals(ownKey))
@@ -140,7 +140,7 @@
       return key.key().substring(INSTANCE_PREFIX.length());
     }
 
-    /** Lists the other instances that can be reached, in the order of their ids. */
+    /** Returns the reachable peers, ordered by id. */
     List<InstanceRecord> reachable(RowKey ownKey, Predicate<InstanceSpending> active) {
       return withAddress(ownKey)
           .filter(entry -> active.test(entry.getValue()))
@@ -161,11 +161,11 @@
     }
 
     /**
-     * Gives the sum of all limits of a team.
+     * Returns the sum of all limits of a team.
      *
-     * <p>Failure: another program has overwritten the team's row. Symptom: if it counted as nothing
-     * granted, the whole budget would be granted once more. So all counts as granted: nobody gets
-     * more than is held already.
+     * <p>If another program has overwritten the team's row with an invalid value, all tokens count
+     * as granted, so no instance gets more than it already holds. If they counted as not granted,
+     * the whole budget would be granted a second time.
      */
     long grantedTokens(String team) {
       Row row = row(teamKey(team));
@@ -175,7 +175,10 @@
       return row.exists() && !valid ? FULLY_GRANTED_TOKENS : row.cells().number(GRANTED);
     }
 
-    /** Gives what no instance's limit covers; negative while more is granted than was paid. */
+    /**
+     * Returns the unassigned tokens, which are granted to no instance; negative while too many are
+     * granted.
+     */
     long unassignedTokens(String team, long prepaidTokens) {
       return prepaidTokens - grantedTokens(team);
     }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
@@ -11,16 +11,18 @@
 import java.util.stream.Stream;
 
 /**
- * Which instance of each failure domain has tokens of a team ready; immutable.
+ * The holders of each team: the instance of each failure domain that has immediate tokens of the
+ * team; immutable.
  *
- * <p>Failure: each of some instances keeps a request's worth of each team's budget open, in case
- * the next request comes to it. Symptom: when all of them lose power, every pair of team and
- * instance loses that much: with eight instances and ten teams up to a tenth of all budgets, and
- * with sixty-four instances no piece is as large as a request. One holder in each domain is enough:
- * the others reserve from it for each request, which takes a message each way within the domain,
- * and a domain that is cut off has a holder of its own.
+ * <p>If each instance kept immediate tokens for a request of every team, in case the next request
+ * reaches it, a power loss of all instances would lose that much for every pair of team and
+ * instance: with eight instances and ten teams up to a tenth of all budgets, and with sixty-four
+ * instances no share is as large as a request. One holder in each domain is enough: the other
+ * instances borrow from it for each request, which takes one message each way within the domain,
+ * and a partitioned domain has a holder of its own.
  *
- * <p>Everyone who knows the same instances names the same holders, so nothing has to be agreed.
+ * <p>All instances that know the same instances compute the same holders, so no agreement protocol
+ * is needed.
  */
 final class TeamHolders {
 
@@ -30,10 +32,10 @@
   private final Map<String, List<InstanceRecord>> holdersByTeam = new ConcurrentHashMap<>();
 
   /**
-   * Works out the holders.
+   * Computes the holders.
    *
    * @param self this instance
-   * @param others the others that renew their rows
+   * @param others the other instances that renew their rows
    */
   TeamHolders(InstanceRecord self, List<InstanceRecord> others) {
     this.self = self;
@@ -47,12 +49,12 @@
         team, name -> RendezvousHash.rank(name, byDomain.get(self.domain())));
   }
 
-  /** Says whether this instance holds a team's tokens for its domain. */
+  /** Checks whether this instance is a team's holder for its domain. */
   boolean isHeldBySelf(String team) {
     return rankedFor(team).get(0).id().equals(self.id());
   }
 
-  /** Lists the ids of a team's holders, one of each domain. */
+  /** Returns the ids of a team's holders, one in each domain. */
   Set<String> holderIds(String team) {
     return holdersOf(team).stream().map(InstanceRecord::id).collect(Collectors.toSet());
   }
@@ -67,11 +69,11 @@
   }
 
   /**
-   * Lists the other instances that hold a team's tokens: the one of this domain first, the others
-   * in an order that each instance has for itself, so that not all begin with the same one.
+   * Returns the other holders of a team: the one of this domain first, then the others in an order
+   * that differs between instances, so that not all instances start with the same one.
    *
-   * <p>Failure: what each holder has ready is less than a long prompt costs. Symptom: its request
-   * waits for the table, though the holders together have several times as much ready.
+   * <p>A long prompt may cost more than the immediate tokens of each holder. Asking several holders
+   * avoids a wait for the table when they have several times as many together.
    */
   List<InstanceRecord> otherHolders(String team) {
     return RendezvousHash.rank(self.id(), holdersOf(team)).stream()
@@ -80,7 +82,7 @@
         .toList();
   }
 
-  /** Gives the number of holders of each team: one in each domain. */
+  /** Returns the number of holders of each team, one in each domain. */
   int holderCount() {
     return byDomain.size();
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
@@ -8,19 +8,22 @@
 import java.util.stream.Stream;
 
 /**
- * What this instance has spent of one team's budget, kept below every row that may be in force.
+ * What this instance has spent of one team's budget, kept below every row that may be current.
  *
- * <p>Failure: a renewal takes effect though its answer is lost, or takes effect seconds later.
- * Symptom: the instance counts from one row while the table holds another, and whoever reads the
- * table after a crash takes too little for spent. So from the moment at which a row is sent until
- * it is known to be in force, or never to be, the instance stays below the old bound and the new.
+ * <p>A renewal may take effect although its answer is lost, or seconds later. If the instance spent
+ * under one row while the table holds another, a reader of the table after a crash would count too
+ * few tokens as spent. From the time a row is sent until it is known to be current, or known never
+ * to take effect, the instance therefore stays below both the old bound and the new one.
  */
 public final class TeamSpending {
 
-  /** Weight of the newest reservation in the usual size: about the last ten count. */
+  /** Weight of the newest reservation in the typical size, which reflects about the last ten. */
   private static final double NEWEST_WEIGHT = 0.1;
 
-  /** A request is put together from so many pieces at the most; smaller ones help too little. */
+  /**
+   * Maximum number of parts that a request's tokens are combined from; smaller parts are of little
+   * use.
+   */
   static final long MAX_PARTS = 4;
 
   private final Timers timers;
@@ -32,8 +35,8 @@
   /**
    * Creates the state of a team, with nothing to spend until a row is confirmed.
    *
-   * @param timers the time
-   * @param spentTokens the most that an earlier process on this machine can have spent
+   * @param timers the clock of this process
+   * @param spentTokens the most that a previous process on this machine can have spent
    */
   public TeamSpending(Timers timers, long spentTokens) {
     this.timers = timers;
@@ -43,10 +46,10 @@
   }
 
   /**
-   * A grant and when it was sent.
+   * A grant and the time at which it was sent.
    *
    * @param grant the grant
-   * @param sentAtMs when, by this instance's steady clock
+   * @param sentAtMs the time, by this instance's steady clock
    */
   public record SentGrant(SpendingGrant grant, long sentAtMs) {
 
@@ -56,10 +59,10 @@
   }
 
   /**
-   * Sets tokens aside if every row that may be in force allows it.
+   * Reserves tokens if every row that may be current allows it.
    *
-   * @param tokens how many
-   * @return true when they are set aside
+   * @param tokens the number of tokens
+   * @return true when they are reserved
    */
   public boolean tryReserve(long tokens) {
     if (!tryAdd(tokens)) {
@@ -70,7 +73,7 @@
     return true;
   }
 
-  /** Adds first and looks then, so that a row that is proposed meanwhile is not exceeded. */
+  /** Adds before it checks, so that a row that is proposed concurrently is not exceeded. */
   private boolean tryAdd(long tokens) {
     if (spentTokens.addAndGet(tokens) <= boundTokens()) {
       return true;
@@ -80,10 +83,10 @@
   }
 
   /**
-   * Sets aside what may be spent now, for a request that needs more.
+   * Reserves up to a number of the available tokens, for a request that needs more.
    *
-   * @param tokens at most as many
-   * @return what was set aside, maybe nothing
+   * @param tokens the maximum
+   * @return the reserved part, which may be empty
    */
   PartialReservation reserveUpTo(long tokens) {
     long taken = Math.min(tokens, availableTokens());
@@ -95,7 +98,7 @@
   }
 
   /**
-   * Gives what may be spent now.
+   * Returns the tokens that may be spent now.
    *
    * @return tokens
    */
@@ -103,17 +106,17 @@
     return Math.max(0, boundTokens() - spentTokens.get());
   }
 
-  /** Notes the size of a request, also of one that is served from loans. */
+  /** Records the size of a request, including requests that are served from loans. */
   void recordRequestSize(long tokens) {
     double weight = typicalTokens == 0 ? 1 : NEWEST_WEIGHT;
     typicalTokens += weight * (tokens - typicalTokens);
   }
 
   /**
-   * Ends a reservation.
+   * Settles a reservation.
    *
-   * @param reservedTokens what was set aside
-   * @param usedTokens what is owed, at most as many
+   * @param reservedTokens the tokens that were reserved
+   * @param usedTokens the tokens to charge, at most as many
    */
   public void settle(long reservedTokens, long usedTokens) {
     long returned = reservedTokens - Math.min(reservedTokens, usedTokens);
@@ -122,13 +125,15 @@
   }
 
   /**
-   * Sets tokens aside for another instance, as if they were spent. They count as demand here, where
-   * more of them will be asked for.
+   * Reserves tokens for another instance, as if they were spent. They count as demand of this
+   * instance, which will request more of them.
    *
-   * @param needTokens what the other lacks for one request; a good part of it helps as well
-   * @param wantedTokens as much as it would like
-   * @param divisor one part of so many of what is free now may go at once
-   * @return what was set aside; 0 when there is too little
+   * @param needTokens the tokens that the other instance lacks for one request; a considerable part
+   *     of them is useful as well
+   * @param wantedTokens the amount that the other instance prefers
+   * @param divisor the available tokens divided by this number may be lent beyond {@code
+   *     needTokens}
+   * @return the tokens that were reserved; 0 when there are too few
    */
   public long lend(long needTokens, long wantedTokens, long divisor) {
     long available = availableTokens();
@@ -147,9 +152,9 @@
   }
 
   /**
-   * Takes back what another instance has not spent of a loan.
+   * Accepts the unspent tokens of a loan that another instance returns.
    *
-   * @param tokens how many
+   * @param tokens the number of tokens
    */
   public void returnLoan(long tokens) {
     spentTokens.addAndGet(-tokens);
@@ -159,7 +164,7 @@
   /**
    * Proposes a grant that is about to be sent: from now on spending stays below it as well.
    *
-   * @param shape makes the grant from the tokens spent so far
+   * @param shape calculates the grant from the tokens spent so far
    * @return the grant to send
    */
   public SentGrant propose(LongFunction<SpendingGrant> shape) {
@@ -171,13 +176,13 @@
       if (spentTokens.get() <= sent.boundAt(nowMs)) {
         return sent;
       }
-      // Another thread has reserved in between: the row must show what it took.
+      // Another thread has reserved tokens in between: the row must include them.
       retract(sent);
     }
   }
 
   /**
-   * Notes that a grant was written; all others can no longer come into force.
+   * Called when a grant was written; no other grant can take effect any more.
    *
    * @param sent the grant
    */
@@ -186,7 +191,7 @@
   }
 
   /**
-   * Notes that a grant was surely not written.
+   * Called when a grant was definitely not written.
    *
    * @param sent the grant
    */
@@ -195,9 +200,9 @@
   }
 
   /**
-   * Gives what may be spent now, in all.
+   * Returns the total that may be spent by now.
    *
-   * @return tokens, counted like those spent
+   * @return tokens, counted like the spent tokens
    */
   public long boundTokens() {
     long nowMs = timers.nowMs();
@@ -205,9 +210,10 @@
   }
 
   /**
-   * Gives what may be spent once all rows that may be in force have opened.
+   * Returns the total that may be spent once the bounds of all rows that may be current have
+   * reached their limits.
    *
-   * @return tokens, counted like those spent
+   * @return tokens, counted like the spent tokens
    */
   public long limitTokens() {
     return possibleGrants.get().stream()
@@ -217,10 +223,10 @@
   }
 
   /**
-   * Says how long it takes until an amount can be set aside without a new row.
+   * Returns the time until an amount can be reserved without a new row.
    *
    * @param tokens the amount
-   * @return milliseconds; years when the rows never allow it
+   * @return milliseconds; a very large number when the rows never allow it
    */
   public long waitMs(long tokens) {
     long nowMs = timers.nowMs();
@@ -233,7 +239,7 @@
   }
 
   /**
-   * Gives what was spent or is set aside.
+   * Returns the tokens that are spent or reserved.
    *
    * @return tokens
    */
@@ -242,7 +248,7 @@
   }
 
   /**
-   * Gives the usual size of a reservation.
+   * Returns the typical size of a reservation.
    *
    * @return tokens
    */
@@ -251,7 +257,7 @@
   }
 
   /**
-   * Takes what was used since the last call.
+   * Returns the tokens used since the last call, and resets the count.
    *
    * @return tokens
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Where one team's tokens are by the rows that an instance has read.
+ * Where one team's tokens are, according to the rows that an instance has read.
  *
- * @param prepaidTokens all that the team may ever spend
- * @param unassignedTokens what no instance's limit covers; negative while too much is granted
- * @param peersHeldTokens what other instances' rows hold beyond what they have spent
- * @param peersImmediateTokens the part of it that was near when these rows were sent
- * @param rowsAgeMs how old the rows of the others are
+ * @param prepaidTokens all tokens that the team may ever spend
+ * @param unassignedTokens the tokens granted to no instance; negative while too many are granted
+ * @param peersHeldTokens the tokens that peers hold: granted to them and not spent
+ * @param peersImmediateTokens the part of them that was immediate when the rows were sent
+ * @param rowsAgeMs the age of the peers' rows
  */
 record TeamTokens(
     long prepaidTokens,
@@ -33,7 +33,7 @@
         nowStoreMs - contents.fullReadAtStoreMs());
   }
 
-  /** Says whether the table alone could have paid for a request. */
+  /** Checks whether the unassigned tokens alone would have covered a request. */
   boolean isCoveredByUnassigned(long tokens) {
     return unassignedTokens >= tokens;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Timeouts.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Timeouts.java
@@ -3,7 +3,7 @@
 import io.mothrill.core.time.Timers;
 import java.util.concurrent.CompletableFuture;
 
-/** Waits of one request, each with an end. */
+/** Creates bounded waits for requests. */
 final class Timeouts {
 
   private final Timers timers;
@@ -12,7 +12,7 @@
     this.timers = timers;
   }
 
-  /** Completes as the event does, and with false if it has not by then. */
+  /** Returns a future that completes with the event's result, or with false after the limit. */
   CompletableFuture<Boolean> completeWithin(CompletableFuture<Boolean> event, long limitMs) {
     CompletableFuture<Boolean> wait = new CompletableFuture<>();
     event.thenAccept(wait::complete);
@@ -20,7 +20,7 @@
     return wait;
   }
 
-  /** Completes after a time. */
+  /** Returns a future that completes after a delay. */
   CompletableFuture<Void> delay(long pauseMs) {
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
     timers.after(pauseMs, () -> elapsed.complete(null));
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TokenReserver.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TokenReserver.java
@@ -5,45 +5,52 @@
 import java.util.function.Supplier;
 
 /**
- * Looks for one request's tokens: here, at the holders of its team, in the table, and where the
- * store is silent at whoever has some.
+ * Finds the tokens for one request: locally, at the holders of its team, in the table, and at any
+ * other instance while the store is unreachable.
  */
 final class TokenReserver {
 
-  /** Waits of one request, for a renewal or for the bound to open, before it is refused. */
+  /**
+   * Maximum number of waits of one request, for a renewal or for the bound to rise, before it is
+   * refused.
+   */
   private static final int MAX_WAITS = 3;
 
   /**
-   * Longest of these waits. A renewal takes about 20 ms; coming back after a refusal takes the
-   * caller a second or more.
+   * Maximum length of one of these waits. A renewal takes about 20 ms; a retry after a refusal
+   * takes the caller a second or more.
    */
   private static final long MAX_WAIT_MS = 250;
 
   /**
-   * Longest wait for the bound to open after no instance could lend: a caller that is sent away
-   * comes back no earlier, and to an instance that may have as little.
+   * Maximum wait for the bound to rise after no instance could lend tokens: a caller that is
+   * refused retries no earlier, and at an instance that may have just as few.
    */
   private static final long MAX_RELEASE_WAIT_MS = 1_000;
 
-  /** A loan is for so many requests like the one that needs it, so that few loans are needed. */
+  /** Size of a loan in requests like the one that needs it, so that few loans are needed. */
   private static final long LOAN_REQUESTS = 3;
 
   /**
-   * Rounds of asking for loans while the store is out of reach. Tokens open at the holders while a
-   * request waits; sent away, its caller would come back after more than a second.
+   * Maximum rounds of requests for loans while the store is unreachable. Tokens are released at the
+   * holders while a request waits; after a refusal, its caller would retry only after more than a
+   * second.
    */
   private static final int MAX_LOAN_ROUNDS = 4;
 
   /**
-   * A request that found too little has just asked for a renewal: if the last one is older than
-   * this, the store does not answer, and more rounds may help.
+   * Maximum age of the last renewal at which the store counts as answering. A request that found
+   * too few tokens has just asked for a renewal; if the last one is older than this, the store does
+   * not answer, and more rounds may help.
    */
   private static final long RECENT_RENEWAL_MS = 600;
 
-  /** Pause between two rounds: a holder opens a usual request's worth in about a second. */
+  /**
+   * Pause between two rounds: a holder releases the tokens of a typical request in about a second.
+   */
   private static final long LOAN_RETRY_MS = 300;
 
-  /** A loan covers so many seconds of the demand here. */
+  /** Seconds of this instance's demand that a loan covers. */
   private static final long LOAN_DEMAND_S = 2;
 
   private final SpendingState state;
@@ -70,7 +77,7 @@
     this.timeouts = waits;
   }
 
-  /** Sets tokens aside; fails with {@link SpendingException}. */
+  /** Reserves tokens; fails with {@link SpendingException}. */
   CompletableFuture<SpendingReservation> reserve(TeamPlan team, long tokens) {
     return tryReserveOr(team, tokens, () -> reserveElsewhere(team, tokens));
   }
@@ -83,7 +90,7 @@
         .orElseGet(otherwise);
   }
 
-  /** Takes what the holders of the team have ready, wherever they are, then asks the table. */
+  /** Borrows the available tokens of the team's holders in all domains, then asks the table. */
   private CompletableFuture<SpendingReservation> reserveElsewhere(TeamPlan team, long tokens) {
     if (!state.isInitialized()) {
       return reserveAfterWait(team, tokens, MAX_WAITS);
@@ -102,7 +109,10 @@
         .thenCompose(asked -> tryReserveOr(team, tokens, () -> reserveWithRefill(team, tokens)));
   }
 
-  /** Lets the holders of the team make more ready and get more from the table, this one first. */
+  /**
+   * Makes the holders of the team release more and get more from the table, starting with this
+   * instance.
+   */
   private CompletableFuture<SpendingReservation> reserveWithRefill(TeamPlan team, long tokens) {
     if (!state.holders().isHeldBySelf(team.name())) {
       return borrowWithRefill(team, tokens, true);
@@ -132,8 +142,8 @@
   }
 
   /**
-   * Neither the holders nor the table have enough; other instances may hold what they did not hand
-   * back.
+   * Handles the case that neither the holders nor the table have enough; other instances may hold
+   * tokens that they did not return.
    */
   private CompletableFuture<SpendingReservation> reserveFromNonHolders(TeamPlan team, long tokens) {
     if (state.isHeldOutsideHolders(team.name(), tokens)) {
@@ -164,7 +174,10 @@
                     () -> reserveAfterWait(team, tokens, waitsLeft(renewed, waits - 1))));
   }
 
-  /** Completes with true when the row was renewed, and with false when it was not in time. */
+  /**
+   * Waits for tokens. Completes with true when the row was renewed, and with false when it was not
+   * renewed in time.
+   */
   private CompletableFuture<Boolean> awaitTokens(
       String team, long tokens, boolean renewing, long releasedInMs) {
     if (!renewing) {
@@ -177,8 +190,8 @@
   }
 
   /**
-   * A renewal that is not answered soon shows that the store is silent, and lenders may help;
-   * before the first row nobody can.
+   * Returns how many waits remain. A renewal that is not answered soon shows that the store is
+   * unreachable, and lenders may help instead; before the first row no instance can.
    */
   private int waitsLeft(boolean renewed, int waits) {
     return renewed || !state.isInitialized() ? waits : 0;
@@ -190,7 +203,7 @@
         : refuse(team, tokens);
   }
 
-  /** Asks the lenders, and asks again when more has opened at them. */
+  /** Asks the lenders, and asks again when they have released more tokens. */
   private CompletableFuture<SpendingReservation> reserveFromLoan(
       TeamPlan team, long tokens, int rounds) {
     return borrow(team, tokens)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/WantedTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/WantedTokens.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What requests wait for, by team, until a row asks for it. */
+/** The tokens that requests are waiting for, by team, until a row requests them. */
 final class WantedTokens {
 
   private final Map<String, Long> byTeam = new ConcurrentHashMap<>();
@@ -17,16 +17,17 @@
     return byTeam.isEmpty();
   }
 
-  /** Gives what requests wait for now. */
+  /** Returns the tokens that requests are waiting for now. */
   Map<String, Long> current() {
     return Map.copyOf(byTeam);
   }
 
   /**
-   * Takes what requests waited for when a renewal began, unless another one has taken it since.
+   * Removes the tokens that were wanted when a renewal started, unless another renewal has already
+   * removed them.
    *
-   * @param wantedAtStart what they waited for then
-   * @return what is left of it
+   * @param wantedAtStart the tokens that were wanted at that time
+   * @return the tokens that were removed
    */
   Map<String, Long> take(Map<String, Long> wantedAtStart) {
     Map<String, Long> taken = new HashMap<>();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Prepaid tokens for forwarded requests: each instance spends below a bound that its row in the
- * platform's table gives, and that opens while the table cannot be reached.
+ * Prepaid tokens for forwarded requests. Each instance spends below a bound that is defined by its
+ * row in the platform's table, and that rises while the table is unreachable.
  */
 package io.mothrill.core.forward.spending;
