--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
@@ -18,8 +18,9 @@
             LEFT_TOKENS, ownTokensPerS, allTokensPerS, INSTANCES, TYPICAL_TOKENS));
   }
 
-  // Seventy instances together get seven requests a second. The one that was not asked lately gets
-  // the next request as likely as any other, and must hold enough for several.
+  // Guards against refusals when requests are rare: of seventy instances with seven requests per
+  // second in total, one without recent requests is as likely as any other to receive the next
+  // request, and must hold enough for several.
   @Test
   void instanceWithoutDemandHoldsSeveralRequestsWhenRequestsAreRare() {
     assertThat(holding(0, 7 * TYPICAL_TOKENS)).isAtLeast(10 * TYPICAL_TOKENS);
@@ -41,7 +42,7 @@
     assertThat(INSTANCES * equal).isLessThan(LEFT_TOKENS);
   }
 
-  // A share would be less than one request. Held in pieces it would serve nobody.
+  // Guards against splitting the last tokens into shares that are smaller than one request.
   @Test
   void holdsNothingWhenTheSharesAreSmallerThanOneRequest() {
     long holding =
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
@@ -12,7 +12,8 @@
 /**
  * Seventy-nine instances in four failure domains, with the callers of two dozen teams.
  *
- * <p>All callers of two of the teams come to one instance each, those of the others to any.
+ * <p>All callers of two of the teams use one instance each; those of the other teams use any
+ * instance.
  */
 final class FleetLoad {
 
@@ -24,22 +25,22 @@
   private static final long MS_PER_S = 1_000;
   private static final long WRITE_MS = 5;
 
-  /** A message that two busy instances handle beside their requests. */
+  /** Delay of a message between two instances that are busy with requests. */
   private static final long PEER_MS = 6;
 
   private static final long START_SPREAD_MS = 300;
   private static final long BEFORE_TRAFFIC_MS = 18_000;
 
-  /** Teams whose callers all come to one instance, and that instance. */
+  /** Teams whose callers all use one instance, and that instance. */
   private static final int[][] PINNED_TEAMS = {{1, 20}, {5, 70}};
 
-  /** The engine reads the prompt in the other half of the time that callers hope for. */
+  /** The engine's prefill takes the other half of the target latency. */
   private static final int TARGET_LATENCY_DIVISOR = 2;
 
-  /** A request is owed if it fits into so much of the budget at its most. */
+  /** A request must be served if at most this share of the budget is used with it. */
   private static final double ENTITLED_SHARE = 0.97;
 
-  /** One kind of request, with the logarithm of sizes spread normally. */
+  /** One kind of request, with log-normally distributed sizes. */
   private record Kind(
       int perS, double medianTokens, double spread, long aimMs, long tookMs, double usedShare) {
 
@@ -75,15 +76,15 @@
   /**
    * Creates the load.
    *
-   * @param budgetS how many seconds of the load the budgets pay for
-   * @param seed the seed of all that is drawn
+   * @param budgetS the number of seconds of the load that the budgets pay for
+   * @param seed the seed of all random values
    */
   FleetLoad(long budgetS, long seed) {
     this.budgets = budgets(budgetS);
     this.world = new SpendingSimulation(teams, budgets, seed);
   }
 
-  /** One request of a caller, at its first instance or at a second one. */
+  /** One request of a caller, at its first instance or at a second one after a refusal. */
   private static final class Request {
     private final Kind kind;
     private final int team;
@@ -107,7 +108,7 @@
     return UNEVEN.budgets(seconds * tokensPerS);
   }
 
-  /** Starts all instances, before any caller comes. */
+  /** Starts all instances, before the first request. */
   void start() {
     world.serializeWrites(WRITE_MS);
     world.delayPeers(PEER_MS);
@@ -130,13 +131,13 @@
     }
   }
 
-  /** Cuts all instances off from the store. */
+  /** Makes the store unreachable for all instances. */
   void cut() {
     cut = true;
     instances.forEach(member -> member.cutFromTable = true);
   }
 
-  /** Ends the cut. */
+  /** Makes the store reachable again. */
   void reconnectStore() {
     cut = false;
     instances.forEach(member -> member.cutFromTable = false);
@@ -149,7 +150,7 @@
     startAll();
   }
 
-  /** Lets callers come for a while. */
+  /** Sends requests for a time. */
   void serve(double seconds) {
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
       world.timers.advanceMs(1);
@@ -159,7 +160,7 @@
     }
   }
 
-  /** Forgets the requests so far. */
+  /** Discards the requests so far. */
   void resetCounts() {
     requests.clear();
   }
@@ -202,7 +203,7 @@
     return usedTokens[team] + reservedTokens[team] + tokens <= ENTITLED_SHARE * budgets.get(team);
   }
 
-  /** From now on a part of all requests comes from the largest teams alone. */
+  /** Makes a share of all requests come from the largest teams only, from now on. */
   void concentrateLoad(int teamCount, double share) {
     hotTeams = teamCount;
     hotShare = share;
@@ -214,7 +215,7 @@
         : UNEVEN.draw(world.random);
   }
 
-  /** Empty if the instance has not started yet. */
+  /** Draws the instance for a request; empty if it has not started yet. */
   private Optional<SpendingSimulation.SimulatedInstance> instanceFor(int team) {
     int place =
         Arrays.stream(PINNED_TEAMS)
@@ -248,12 +249,12 @@
     }
   }
 
-  /** Says what part of the requests that are owed had their tokens in time, in a hundred. */
+  /** Returns the percentage of requests that must be served and had their tokens in time. */
   double inTimePercent() {
     return percent(requests);
   }
 
-  /** The same for one team; nothing owed counts as all in time. */
+  /** Returns the same percentage for one team, or 100 if it has no such requests. */
   double inTimePercent(int team) {
     return percent(requests.stream().filter(request -> request.team == team).toList());
   }
@@ -264,12 +265,12 @@
     return owed.isEmpty() ? 100 : 100.0 * inTime / owed.size();
   }
 
-  /** Counts the requests that are owed. */
+  /** Returns the number of requests that must be served. */
   long entitledCount() {
     return requests.stream().filter(request -> request.entitled).count();
   }
 
-  /** Says what part of the requests that are owed were refused at least once, in a hundred. */
+  /** Returns the percentage of requests that must be served and were refused at least once. */
   double refusedPercent() {
     long refused =
         requests.stream()
@@ -278,12 +279,12 @@
     return 100.0 * refused / Math.max(1, entitledCount());
   }
 
-  /** Counts refusals. */
+  /** Returns the number of refusals. */
   int refusalCount() {
     return refusalsMs().size();
   }
 
-  /** Gives how long callers waited for their refusals, for so many in a hundred at the most. */
+  /** Returns a percentile of the time after which requests were refused. */
   long refusedAfterMs(int percentile) {
     List<Long> refusals = refusalsMs();
     return refusals.isEmpty() ? 0 : refusals.get((refusals.size() - 1) * percentile / 100);
@@ -293,7 +294,7 @@
     return requests.stream().flatMap(request -> request.refusedAfterMs.stream()).sorted().toList();
   }
 
-  /** Gives what part of all budgets counts as spent in the table, in a hundred. */
+  /** Returns the percentage of all budgets that counts as spent in the table. */
   double spentInTablePercent() {
     var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
     SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
@@ -308,7 +309,7 @@
             .filter(team -> inTimePercent(team) < 90)
             .mapToObj(team -> "%d: %.0f".formatted(team, inTimePercent(team)))
             .collect(Collectors.joining(", "));
-    return ("asked %d, owed %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and %d ms, "
+    return ("asked %d, entitled %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and %d ms, "
             + "counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
         .formatted(
             requests.size(),
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
@@ -33,7 +33,8 @@
     assertThat(others.activeCount()).isEqualTo(2);
   }
 
-  // An instance that no longer renews its row may be cut off and spending, up to its limit.
+  // An instance that no longer renews its row may be partitioned and still spending, up to its
+  // limit.
   @Test
   void countsTheWholeLimitOfSilentInstances() {
     PeerSpending others =
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/ReservationBuilderTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/ReservationBuilderTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What one request needs, put together from several loans. */
+/** Combining one request's reservation from several loans. */
 class ReservationBuilderTest {
 
   private static final InstanceRecord LENDER =
@@ -30,8 +30,8 @@
     assertThat(second.remainingTokens()).isEqualTo(2_000);
   }
 
-  // All places together have too little. What was set aside on the way must not stay so: it would
-  // be lost to every later request.
+  // Guards against lost tokens: if all sources together have too few, the parts reserved so far
+  // must be returned, or no later request can use them.
   @Test
   void givesAllBackWhenThePiecesAreTooLittle() {
     assertThat(reserve(12_000)).isEmpty();
@@ -40,8 +40,8 @@
     assertThat(second.remainingTokens()).isEqualTo(6_000);
   }
 
-  // A request used less than was set aside for it. Each place counts what was used there, in their
-  // order, and has the rest again; none counts a token twice.
+  // Guards against tokens that are charged twice: a request uses fewer tokens than were reserved.
+  // Each source, in order, is charged for what was used there and gets the rest back.
   @Test
   void chargesThePlacesInTheirOrder() {
     reserve(9_000).orElseThrow().settle(5_500);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
@@ -8,23 +8,24 @@
 
 class SpendingAfterPowerLossTest {
 
-  /** The part of the requests that are to have their tokens in time, in a hundred. */
+  /** Minimum percentage of requests that must have their tokens in time. */
   private static final double IN_TIME_PERCENT = 95;
 
-  /** Budgets pay for a third more than the callers of the whole test ask for. */
+  /** Budget in seconds of load: a third more than the callers request in the whole test. */
   private static final long BUDGET_S = 55;
 
-  /** Budgets that are spent soon after the loss of power. */
+  /** Budget in seconds of load that is spent soon after the power loss. */
   private static final long SHORT_BUDGET_S = 40;
 
-  /** The shortest time in which callers hope for a first byte. */
+  /** The shortest target latency until the first byte. */
   private static final long SHORTEST_TARGET_LATENCY_MS = 300;
 
   private static final int HOT_TEAMS = 4;
   private static final double HOT_SHARE = 0.4;
   private static final long OUTAGE_MS = 1_200;
 
-  // Guards against a loss of power inside a cut that leaves teams without what they have paid for.
+  // Guards against a power loss during a store outage that leaves teams without tokens they have
+  // paid for.
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 17})
   void callersAreServedAfterPowerLossInsideCut(long seed) {
@@ -48,7 +49,8 @@
     assertWithMessage("%s", load).that(load.inTimePercent()).isAtLeast(IN_TIME_PERCENT);
   }
 
-  // Guards against refusals for tokens that come after the time in which callers hoped for answers.
+  // Guards against refusals for lack of tokens that are sent after the target latency of the
+  // request.
   @ParameterizedTest
   @ValueSource(longs = {1, 3, 17})
   void refusalsComeWithinTargetLatencyWhileBudgetsRunOut(long seed) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
@@ -41,8 +41,8 @@
     assertThat(world.spentTokens()).isEqualTo(0);
   }
 
-  // Both instances lose the table for ten seconds. Callers go on being served from what lies at the
-  // instance, which opens step by step.
+  // Both instances lose the table for ten seconds. Requests are still served from held tokens,
+  // which the bound releases step by step.
   @Test
   void keepsSpendingDuringLongStoreOutage() {
     world.timers.advanceMs(SETTLED_MS);
@@ -55,8 +55,8 @@
     assertThat(granted).isAtLeast(15);
   }
 
-  // The process dies a second after its last renewal. Its successor on the same machine counts
-  // what may have been spent, and the rest of the holding is there for callers again.
+  // The process crashes one second after its last renewal. Its successor on the same machine counts
+  // what may have been spent, and the rest of the held tokens is available again.
   @Test
   void crashLosesOnlyImmediateTokens() {
     world.timers.advanceMs(SETTLED_MS);
@@ -78,8 +78,9 @@
     return SpendingTable.Snapshot.of(rows, 0);
   }
 
-  // The process dies, and its successor begins soon but reaches the table only after seconds. The
-  // dead process cannot have spent what would have opened since, so the team loses none of it.
+  // Guards against counting tokens that were released after the crash: the successor starts soon
+  // but reaches the table only after seconds. The previous process cannot have spent what would
+  // have been released since then, so the team loses none of it.
   @Test
   void crashLosesNothingForTheTimeAfterTheSuccessorBegan() {
     world.timers.advanceMs(SETTLED_MS);
@@ -98,8 +99,9 @@
     assertThat(left).isAtLeast(110_000);
   }
 
-  // A process has just started, and the table answers only after half a second. The request that
-  // came meanwhile is served then; refused, its caller would come back after a second.
+  // Guards against refusing requests right after a start: the table answers only after half a
+  // second, and a refused caller would retry a second later. A request that arrives meanwhile waits
+  // for the first row.
   @Test
   void requestThatComesBeforeTheFirstRowWaitsForIt() {
     world.timers.advanceMs(SETTLED_MS);
@@ -114,8 +116,9 @@
     assertThat(world.spentTokens()).isEqualTo(500);
   }
 
-  // The table is out of reach for seconds and back for less than one. The row must be renewed in
-  // that time: if the instance dies in the next cut, all that opened since the first would be lost.
+  // Guards against missing a short recovery: the table is unreachable for seconds and back for less
+  // than one. The row must be renewed in that time, or a crash in the next outage loses all tokens
+  // released since the first one.
   @Test
   void renewsWithinHalfSecondWhenTheTableIsBack() {
     world.timers.advanceMs(SETTLED_MS);
@@ -127,8 +130,8 @@
     assertThat(first.spending.renewalAgeMs()).isAtMost(500);
   }
 
-  // One instance has spent all that it held when the table goes away; the other holds enough. The
-  // caller is served from a loan instead of being refused.
+  // One instance has spent all its tokens when the table becomes unreachable, and the other holds
+  // enough. The request is served from a loan instead of being refused.
   @Test
   void borrowsFromAnotherInstanceWhileTheTableIsAway() {
     world.timers.advanceMs(SETTLED_MS);
@@ -145,8 +148,9 @@
     assertThat(world.spentTokens()).isAtMost(world.prepaidTokens());
   }
 
-  // All instances have just lost the table and none can lend. What the request needs opens here
-  // within half a second: its caller is served then, instead of being sent away for as long.
+  // Guards against refusals shortly before tokens are released: all instances have just lost the
+  // table and none can lend, but the bound releases enough within half a second, less than the
+  // delay of a retry.
   @Test
   void waitsForTokensReleasedSoon() {
     world.timers.advanceMs(SETTLED_MS);
@@ -184,8 +188,8 @@
     assertThat(first.lastRefusal).contains("at hand");
   }
 
-  // The team has used its budget, as the rows of the last second show. Its callers hear so at once,
-  // and not after everyone was asked for tokens that nobody has.
+  // Guards against slow refusals: the rows of the last second show that the team has spent its
+  // budget, so a request is refused immediately and not after every instance was asked.
   @Test
   void refusesAtOnceWhatTheLastRowsShowToBeSpent() {
     world.timers.advanceMs(SETTLED_MS);
@@ -202,8 +206,8 @@
     assertThat(first.lastRefusal).contains("tokens left");
   }
 
-  // Nearly all is spent, and what is left lies in two places, each with less than a request needs.
-  // A caller whose request fits into both together must not hear that it should come back for ever.
+  // Guards against retries without end: nearly the whole budget is spent, and two instances each
+  // hold less than a request needs. A request that fits into both parts together must be served.
   @Test
   void servesRequestFromTheLastTokensOfSeveralInstances() {
     world.timers.advanceMs(SETTLED_MS);
@@ -225,8 +229,9 @@
     assertThat(world.spentTokens()).isEqualTo(world.prepaidTokens());
   }
 
-  // A renewal takes effect but its answer is lost, and then the table goes away. The instance
-  // spends all that it may and dies. Whoever reads the row that is in force must count no less.
+  // Guards against spending beyond an unconfirmed row: a renewal takes effect but its answer is
+  // lost, and then the table becomes unreachable. The instance spends all that it may and crashes;
+  // a reader of the current row must count no fewer tokens.
   @Test
   void spendsNoMoreThanAnUnansweredRowShows() {
     world.timers.advanceMs(SETTLED_MS);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
@@ -10,11 +10,11 @@
 /**
  * Eight instances in three failure domains serve ten teams with long prompts.
  *
- * <p>Pattern: fifty requests a second come to all instances alike, most of a few thousand tokens
- * and some of many times that, so each pair of team and instance sees one in less than two seconds.
- * All instances lose the store for eight seconds, or their power for less than one. The grounds for
- * the figures: a budget is about what sixty seconds of this load use, and a request counts as
- * served in time if its tokens are there within the second that callers of long prompts hope for.
+ * <p>Load: 50 requests per second, spread evenly over all instances, most of a few thousand tokens
+ * and some many times larger, so each pair of team and instance receives one in less than two
+ * seconds. All instances lose the store for eight seconds, or their power for less than one. A
+ * budget is about what sixty seconds of this load use. A request counts as served in time if its
+ * tokens are reserved within the target latency of long prompts, which is one second.
  */
 class SpendingDuringOutagesTest {
 
@@ -35,7 +35,7 @@
   private static final int MORE_TOKENS = 6_000;
   private static final int LONG_TOKENS = 40_000;
 
-  /** One in so many requests is a long one. */
+  /** One in this many requests is long. */
   private static final int LONG_SHARE = 8;
 
   private static final long PREPAID_TOKENS = 3_000_000;
@@ -45,12 +45,12 @@
   private static final long OUTAGE_MS = 800;
 
   /**
-   * What the teams may lose together: 290 thousand were lost with a holder in each domain, 622
-   * thousand when each instance kept a request's worth of each team's budget open.
+   * Maximum tokens that the teams may lose together. 290,000 are lost with one holder in each
+   * domain, 622,000 if each instance keeps immediate tokens for a request of every team.
    */
   private static final long MAX_LOST_TOKENS = 400_000;
 
-  /** 988 of 1,000 were measured. */
+  /** The observed rate is 988 of 1,000. */
   private static final int LEAST_IN_TIME_PERCENT = 95;
 
   private final List<String> teams =
@@ -104,8 +104,9 @@
     return teams.stream().mapToLong(contents::spentTokens).sum();
   }
 
-  // All instances lose power and their successors begin within a second. What counts as spent
-  // though nobody has spent it is lost for the teams, whose callers are refused at the end of it.
+  // All instances lose power, and their successors start within a second. Tokens that count as
+  // spent although they were not are lost to the teams, whose callers are refused at the end of the
+  // budget.
   @Test
   void powerLossOfAllInstancesCostsFewTokens() {
     startAll();
@@ -120,8 +121,8 @@
     assertThat(lostTokens).isAtMost(MAX_LOST_TOKENS);
   }
 
-  // All instances lose the store for eight seconds. Callers are served from what the holders have
-  // ready and what opens there while they wait.
+  // All instances lose the store for eight seconds. Requests are served from the holders' immediate
+  // tokens and from tokens that are released while they wait.
   @Test
   void mostCallersAreServedInTimeThroughCutOfAllInstances() {
     startAll();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingLatencyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingLatencyTest.java
@@ -16,7 +16,7 @@
   private static final int HUNDREDS_OF_INSTANCES = 300;
   private static final long TARGET_LATENCY_MS = 300;
 
-  /** The time to the first byte that callers hope for at the most. */
+  /** The longest target latency until the first byte. */
   private static final long LONGEST_WAIT_MS = 1_000;
 
   private static final long STEP_MS = 37;
@@ -27,7 +27,8 @@
     world.timers.advanceMs(SETTLED_MS);
   }
 
-  // Guards against wishes that get lost when a request joins a renewal that was begun before it.
+  // Guards against wanted tokens that are lost when a request joins a renewal that started before
+  // it.
   @Test
   void requestThatNeedsRenewalIsServedWheneverItComes() {
     // GIVEN
@@ -50,7 +51,7 @@
     return served;
   }
 
-  // Guards against taking a young clock of the store for a read that showed no tokens.
+  // Guards against a recently started store clock being mistaken for a read that showed no tokens.
   @Test
   void firstRequestIsServedWhileTheStoreIsYoung() {
     // GIVEN
@@ -64,7 +65,7 @@
     assertThat(reserved.isCompletedExceptionally()).isFalse();
   }
 
-  // Guards against taking a team that no row shows yet for a spent one.
+  // Guards against treating the budget of a team without a row as spent.
   @Test
   void firstRequestOfNewTeamIsServed() {
     // GIVEN
@@ -84,7 +85,8 @@
     assertThat(reserved.isCompletedExceptionally()).isFalse();
   }
 
-  // Guards against requests that wait for seconds until the pace of a large fleet allows a renewal.
+  // Guards against requests that wait for seconds until the rate limit of a large fleet allows a
+  // renewal.
   @Test
   void requestsOfHundredsOfInstancesDoNotWaitForPacedRenewals() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
@@ -10,8 +10,8 @@
 /**
  * Two instances serve a hundred teams, more than one transaction of the table can change.
  *
- * <p>Pattern: a request needs more than lies ready here, while shares follow in turns. The grounds
- * for the figures: a transaction takes a hundred entries, of which each team takes two.
+ * <p>A request needs more than the immediate tokens while shares change in rotation. A transaction
+ * has a hundred entries, and each team takes two of them.
  */
 class SpendingOfHundredTeamsTest {
 
@@ -20,15 +20,15 @@
   private static final long REQUEST_TOKENS = 60_000;
   private static final long SETTLED_MS = 10_000;
 
-  /** Two renewals, each a read and a write of some milliseconds. */
+  /** The time of two renewals, each with a read and a write of some milliseconds. */
   private static final long SOON_MS = 150;
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
   private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 11, teams);
 
-  // The holder of each team asks the table for more than it has ready. Whichever team it is, the
-  // request must not wait until a turn has come round to it.
+  // Guards against requests that wait for the rotation: the holder of each team requests more than
+  // its immediate tokens, and must get them with the next row, whichever team it is.
   @Test
   void requestOfAnyTeamGetsTokensFromTheNextRow() {
     SpendingSimulation.SimulatedInstance first = world.start("konya-1");
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
@@ -8,14 +8,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ninety-six instances in six failure domains serve forty uneven teams, mostly long prompts.
+ * Ninety-six instances in six failure domains serve forty teams of uneven size, mostly with long
+ * prompts.
  *
- * <p>Pattern: 270 requests a second, a third of them with prompts of 12,000 tokens in the middle
- * and of 60,000 for one in a hundred; the largest team sends a quarter of all, the smallest one a
- * request in seconds; one domain has as many callers as three others. All instances lose the store
- * for seven seconds, or their power for less than one. The grounds for the figures: a budget is
- * what eighty seconds of this load use, and tokens are there in time if they take less than half of
- * the time that callers hope for, as the prompt has still to be read after that.
+ * <p>Load: 270 requests per second. A third of them have prompts with a median of 12,000 tokens,
+ * and of 60,000 tokens for one in a hundred. The largest team sends a quarter of all requests, the
+ * smallest one a request every few seconds, and one domain has as many callers as three others. All
+ * instances lose the store for seven seconds, or their power for less than one. A budget is what
+ * eighty seconds of this load use. Tokens are in time if they are reserved within half of the
+ * target latency, because the prefill takes place afterwards.
  */
 class SpendingOfLongPromptsTest {
 
@@ -26,7 +27,10 @@
   private static final long MS_PER_S = 1_000;
   private static final long BUDGET_S = 80;
 
-  /** A budget that this load has used in a minute lies nearly all at the holders. */
+  /**
+   * Budget in seconds of load. A budget that this load uses within a minute is almost entirely held
+   * by the holders.
+   */
   private static final long SHORT_BUDGET_S = 44;
 
   private static final long SEED = 11;
@@ -40,27 +44,27 @@
   private static final long HOT_S = 6;
   private static final long OUTAGE_MS = 800;
 
-  /** After it nothing is under way any more. */
+  /** Time after which no requests are in flight any longer. */
   private static final long LONGEST_STREAM_MS = 4_000;
 
-  /** 1.3 in a hundred are lost with one usual request near at each holder, 2.6 with more. */
+  /** 1.3% is lost with immediate tokens for one typical request at each holder, 2.6% with more. */
   private static final double MAX_LOST_SHARE = 0.03;
 
-  /** Where teams have a home, so many of ten requests come from there. */
+  /** Of ten requests, the number that come from the team's home domain, if teams have one. */
   private static final int AT_HOME_OF_TEN = 7;
 
-  /** The largest teams, a third of all requests, have the same home. */
+  /** The largest teams, which send a third of all requests, have the same home domain. */
   private static final int TEAMS_OF_FIRST_HOME = 4;
 
-  /** The team that sends more than usual, and how many of ten requests are its own then. */
+  /** The team that sends more than usual, and its part of ten requests during that time. */
   private static final int HOT_TEAM = 2;
 
   private static final int HOT_OF_TEN = 2;
 
-  /** Callers of the busy domain for each caller of another one. */
+  /** Callers of the busy domain for each caller of another domain. */
   private static final int BUSY = 4;
 
-  /** One kind of request, with the logarithm of sizes spread normally. */
+  /** One kind of request, with log-normally distributed sizes. */
   private record Kind(
       int perS, double medianTokens, double spread, long inTimeMs, long tookMs, double usedShare) {
 
@@ -108,7 +112,7 @@
     }
   }
 
-  /** Instances of the first domain are drawn more often. */
+  /** Draws an instance; those of the first domain are drawn more often. */
   private SpendingSimulation.SimulatedInstance drawInstance() {
     int drawn = world.random.nextInt(BUSY + DOMAINS - 1);
     int domain = Math.max(0, drawn - BUSY + 1);
@@ -178,7 +182,7 @@
     resetCounts();
   }
 
-  /** Says what part of the requests, in a hundred, had their tokens in time. */
+  /** Returns the percentage of requests that had their tokens in time. */
   private int inTimePercent() {
     return 100 * inTime / asked;
   }
@@ -187,8 +191,9 @@
     return 100 * inTimeLong / askedLong;
   }
 
-  // Most prompts cost more than the holder of their domain has ready. What the holders have
-  // together is enough, so callers wait for one or two messages and not for the table.
+  // Guards against requests that wait for the table: most prompts cost more than the immediate
+  // tokens of the holder in their domain, but not more than those of all holders together, so one
+  // or two messages are enough.
   @Test
   void longPromptsDoNotWaitForTheTable() {
     settle();
@@ -200,9 +205,9 @@
     assertThat(refused).isAtMost(asked / 100);
   }
 
-  // Most callers of a team are in one domain, and it sends several times its usual. The holder
-  // there has soon used its share, while those of the other domains hold much and have little of it
-  // ready. 16 of 1,620 requests were refused, 51 when lenders did not act on a shortage.
+  // Guards against refusals of a team with a burst from one domain: the holder there soon uses its
+  // share, while the holders of the other domains hold many tokens but few immediate ones. 16 of
+  // 1,620 requests are refused, and 51 if lenders do not react to a shortage.
   @Test
   void hotTeamInOneDomainFindsWhatTheOthersHold() {
     world = new SpendingSimulation(teams, budgets(SHORT_BUDGET_S), SEED);
@@ -221,8 +226,8 @@
     assertThat(refused).isAtMost(asked * 2 / 100);
   }
 
-  // All instances lose the store at the same moment. For the first seconds there is only what the
-  // holders have ready.
+  // All instances lose the store at the same moment. In the first seconds only the immediate tokens
+  // of the holders are available.
   @Test
   void mostCallersAreServedInTimeThroughCutOfAllInstances() {
     settle();
@@ -235,8 +240,8 @@
     assertThat(refused).isAtMost(asked * 2 / 100);
   }
 
-  // The store is back for all instances at the same moment, and all their rows are due. Requests
-  // of that second are served as those before it.
+  // All instances reach the store again at the same moment, and all their rows are due for renewal.
+  // Requests in that second are served as before.
   @Test
   void returnOfTheStoreDelaysNobody() {
     settle();
@@ -251,8 +256,8 @@
     assertThat(refused).isAtMost(asked / 100);
   }
 
-  // All instances lose power, and their successors begin within a second. What was ready counts as
-  // spent though nobody has spent it.
+  // All instances lose power, and their successors start within a second. Immediate tokens count as
+  // spent although they were not.
   @Test
   void powerLossOfAllInstancesCostsFewTokens() {
     settle();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
@@ -7,24 +7,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seventy instances draw on one budget: the load on the table must grow with their number, not with
- * its square.
+ * Seventy instances use one budget: the load on the table must grow linearly with their number, not
+ * quadratically.
  */
 class SpendingOfManyInstancesTest {
 
   private static final int INSTANCES = 70;
 
-  /** All instances start within this time of each other, as a whole fleet does. */
+  /** All instances start within this time, like a whole fleet. */
   private static final int START_SPREAD_MS = 300;
 
   private static final long SETTLED_MS = 15_000;
   private static final long MEASURED_S = 20;
   private static final long TOKENS = 1_000;
 
-  /** What stays in the table makes up for these, also as instances take new shares afterwards. */
+  /**
+   * The unassigned tokens cover this many large requests, even as instances take new shares
+   * afterwards.
+   */
   private static final int LARGE_REQUESTS = 4;
 
-  /** A little more than an instance holds: 92 in 100 of an equal share of a million. */
+  /** Slightly more than an instance holds, which is 92% of an equal share of a million tokens. */
   private static final long LARGE_TOKENS = 1_000_000;
 
   private final SpendingSimulation world = new SpendingSimulation(70_000_000, 11);
@@ -42,7 +45,7 @@
     return members;
   }
 
-  /** Each instance is asked for a thousand tokens a second, at a moment of its own. */
+  /** Reserves a thousand tokens per second at each instance, at different times. */
   private void spendOneSecond(List<SpendingSimulation.SimulatedInstance> members) {
     for (SpendingSimulation.SimulatedInstance member : members) {
       world.timers.advanceMs(1_000 / INSTANCES);
@@ -50,8 +53,8 @@
     }
   }
 
-  // Each renewal that read the rows of all instances would cost 70 rows; the links of small
-  // instances would be busy with little else.
+  // Guards against full reads with each renewal: they would read 70 rows each and use most of the
+  // network capacity of small instances.
   @Test
   void renewalReadsFewRowsOfOthers() {
     List<SpendingSimulation.SimulatedInstance> members = startAll();
@@ -65,8 +68,8 @@
     assertThat(rowsPerInstanceAndSecond).isAtMost(15);
   }
 
-  // All instances follow the shares of a budget that is being spent. If all of them changed the
-  // team's row each second, most of their writes would meet a conflict.
+  // Guards against write conflicts: all instances follow the shares of a budget that is being
+  // spent. If all of them changed the team's row each second, most of their writes would conflict.
   @Test
   void fewWritesMeetConflicts() {
     List<SpendingSimulation.SimulatedInstance> members = startAll();
@@ -82,8 +85,8 @@
     assertThat(conflicts).isAtMost(writes / 5);
   }
 
-  // A request is larger than what its instance holds, and the table has room. It must not wait for
-  // the turn of its instance, which comes once in six seconds.
+  // Guards against requests that wait for a rebalancing, which each instance does once in six
+  // seconds: a request needs more than its instance holds, and the table has enough.
   @Test
   void requestLargerThanTheHoldingIsServedAtOnce() {
     List<SpendingSimulation.SimulatedInstance> members = startAll();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
@@ -10,11 +10,12 @@
 import org.junit.jupiter.api.TestInstance;
 
 /**
- * Seventy instances serve two dozen teams, each of which asks each instance once in three seconds.
+ * Seventy instances serve two dozen teams, each of which sends a request to each instance once in
+ * three seconds.
  *
- * <p>Pattern: most requests find what the last renewal left near, a quarter finds less. All rows
- * lie in one part of the table, which writes 200 transactions a second, and the renewals of each
- * second take a third of them.
+ * <p>Most requests find enough immediate tokens since the last renewal; a quarter finds fewer. All
+ * rows are in one partition of the table, which writes 200 transactions per second, and the
+ * periodic renewals use a third of them.
  */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class SpendingOfManyTeamsTest {
@@ -26,7 +27,7 @@
   private static final long WRITE_MS = 5;
   private static final long START_SPREAD_MS = 300;
 
-  /** Shares follow in turns, of which each instance has one in six seconds. */
+  /** Shares change by rebalancing, which each instance does once in six seconds. */
   private static final long SPREAD_OUT_MS = 10_000;
 
   private static final long SETTLED_S = 6;
@@ -34,10 +35,10 @@
   private static final int LEAST_TOKENS = 1_500;
   private static final int MORE_TOKENS = 7_000;
 
-  /** A wait that takes a good part of a short request's aim. */
+  /** A wait that uses a considerable part of a short request's target latency. */
   private static final long LONG_WAIT_MS = 100;
 
-  /** Half as much again as the teams spend in the whole test. */
+  /** One and a half times what the teams spend in the whole test. */
   private static final long PREPAID_TOKENS =
       3L * (SETTLED_S + MEASURED_S) * REQUESTS_PER_S * (LEAST_TOKENS + MORE_TOKENS / 2) / TEAMS / 2;
 
@@ -96,8 +97,9 @@
     serve(MEASURED_S);
   }
 
-  // Requests of uneven size come to instances that each hold about one of the usual size. If each
-  // that lacks tokens waited for the table, its one part would be busy with conflicts.
+  // Guards against overloading the table with conflicts: requests of uneven size reach instances
+  // that each hold about one typical request. If every request that lacks tokens waited for the
+  // table, its single partition would be busy with conflicts.
   @Test
   void fewRequestsWaitForTheTable() {
     assertThat(soon).isAtLeast(asked * 90 / 100);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * Whatever fails in whatever order, a team never spends more than it has prepaid.
+ * A team never spends more than it has prepaid, whichever faults occur in whichever order.
  *
- * <p>A failure names the seed, with which it happens again.
+ * <p>A failure reports the seed that reproduces it.
  */
 class SpendingPropertyTest {
 
@@ -24,14 +24,14 @@
   private static final long TOKENS_EACH = 50_000;
   private static final int LARGEST_TOKENS = 9_000;
 
-  // Callers spend at all instances while these are cut off from the table or from each other, lose
-  // answers, have writes that take effect seconds later, die and are started again.
+  // Requests are served at all instances while these are partitioned from the table or from each
+  // other, lose answers, have writes that take effect seconds later, crash and restart.
   @Property(tries = 300, seed = "20001")
   void spendingNeverPassesTheBudget(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
     spend(FEW, STEPS, seed);
   }
 
-  // The same with so many instances that requests borrow from others before they ask the table.
+  // The same with so many instances that requests borrow from peers before they ask the table.
   @Property(tries = 60, seed = "20002")
   void manyInstancesNeverSpendMoreThanTheBudget(
       @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -30,7 +30,9 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 
-/** Instances that spend one team's budget over a table and peers that fail as a test asks. */
+/**
+ * Instances that spend the budgets of teams, with a table and peers that fail as a test requires.
+ */
 final class SpendingSimulation {
 
   static final String TEAM = "branch";
@@ -57,13 +59,13 @@
     this(prepaidTokens, seed, List.of(TEAM));
   }
 
-  /** Each of the teams has the same budget. */
+  /** Creates a simulation in which all teams have the same budget. */
   SpendingSimulation(long prepaidTokens, long seed, List<String> teams) {
     this(teams, teams.stream().map(team -> 0L).toList(), seed);
     topUp(prepaidTokens);
   }
 
-  /** Each team has a budget of its own, in the order of the teams. */
+  /** Creates a simulation in which each team has its own budget, in the order of the teams. */
   SpendingSimulation(List<String> teams, List<Long> budgets, long seed) {
     this.random = new Random(seed);
     this.teams = teams;
@@ -72,17 +74,17 @@
     topUp(0);
   }
 
-  /** From now on the table writes one transaction after the other, each in this time. */
+  /** Makes the table write one transaction after the other, each in this time, from now on. */
   void serializeWrites(long takesMs) {
     writeTakesMs = takesMs;
   }
 
-  /** From now on a message between instances takes this long each way. */
+  /** Makes each message between instances take this long each way, from now on. */
   void delayPeers(long delayMs) {
     peerDelayMs = delayMs;
   }
 
-  /** Gives when a transaction that is sent now is written, after those before it. */
+  /** Returns the time until a transaction that is sent now is written, after those before it. */
   private long writtenInMs() {
     tableIdleAtMs = Math.max(tableIdleAtMs, timers.nowMs()) + writeTakesMs;
     return tableIdleAtMs - timers.nowMs();
@@ -113,22 +115,24 @@
     return prepaidTokens;
   }
 
-  /** All that was set aside and not returned, whatever has become of the instance. */
+  /**
+   * Returns all tokens that were reserved and not returned, including those of crashed instances.
+   */
   long spentTokens() {
     return spentTokens;
   }
 
-  /** Rows that were read by all instances so far. */
+  /** Returns the number of rows that all instances have read so far. */
   long rowsRead() {
     return rowsRead;
   }
 
-  /** Transactions that were sent so far, those that met a conflict too. */
+  /** Returns the number of transactions sent so far, including those with a conflict. */
   long writeCount() {
     return writeCount;
   }
 
-  /** Transactions that were not written as another instance had changed a row. */
+  /** Returns the number of transactions that were not written because of a conflict. */
   long conflictCount() {
     return conflictCount;
   }
@@ -154,7 +158,7 @@
     return instances.get(id);
   }
 
-  /** Instances are named after their failure domains. */
+  /** Returns the failure domain of an instance, which is part of its name. */
   private static String domainOf(String id) {
     return id.substring(0, id.lastIndexOf('-'));
   }
@@ -190,7 +194,7 @@
               dispatcher);
     }
 
-    /** Tries to set tokens aside; what is granted counts as spent at once. */
+    /** Tries to reserve tokens; what is granted counts as spent immediately. */
     boolean tryReserve(long tokens) {
       return tryReserve(TEAM, tokens);
     }
@@ -283,7 +287,7 @@
     }
   }
 
-  /** The store's clock is that of the timers. */
+  /** A store clock that equals the clock of the timers. */
   private final class TestClock implements StoreClock {
     @Override
     public long nowMs() {
@@ -296,7 +300,7 @@
     }
   }
 
-  /** One process's way to the table, with the faults of the process. */
+  /** One process's access to the table, with the faults of that process. */
   private final class FaultyTable implements TableService {
     private static final long MAX_LATE_MS = 5_000;
 
@@ -323,7 +327,10 @@
       return call(lateMs, writtenInMs(), () -> count(table.write(transaction).join()));
     }
 
-    /** A late effect takes place even if its sender is dead by then, and is not answered. */
+    /**
+     * Applies an effect; a late one is applied even if its sender has crashed by then, and is not
+     * answered.
+     */
     private <T> CompletableFuture<T> call(long lateMs, long takesMs, Supplier<T> effect) {
       CompletableFuture<T> answer = new CompletableFuture<>();
       if (member.cutFromTable) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
@@ -41,9 +41,9 @@
     assertThat(spending.tryReserve(180)).isTrue();
   }
 
-  // The instance renews its row with a lower bound, and the answer is lost: the table may hold
-  // either row. Whoever reads the table after a crash trusts the row there, so the instance must
-  // stay below both until it knows.
+  // Guards against spending beyond the current row: an instance renews its row with a lower bound
+  // and the answer is lost, so the table may hold either row. A reader after a crash relies on the
+  // row in the table, so the instance must stay below both until it knows the result.
   @Test
   void staysBelowBothRowsWhileAnAnswerIsMissing() {
     spending.confirm(propose(1_000, 900, 0));
@@ -55,7 +55,7 @@
     assertThat(spending.tryReserve(51)).isTrue();
   }
 
-  // The same with a row that gives more: it counts only once it is confirmed.
+  // The same with a higher bound, which counts only once it is confirmed.
   @Test
   void doesNotTrustHigherRowBeforeItIsConfirmed() {
     spending.confirm(propose(1_000, 50, 0));
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/UnevenTeams.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/UnevenTeams.java
@@ -6,7 +6,9 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.IntStream;
 
-/** Teams of which the second sends half as much as the first, the third a third, and so on. */
+/**
+ * Teams of uneven size: the second sends half as much as the first, the third a third, and so on.
+ */
 final class UnevenTeams {
 
   private final double[] shares;
@@ -20,12 +22,12 @@
     return IntStream.range(0, shares.length).mapToObj(number -> "team-" + number).toList();
   }
 
-  /** Shares out tokens as the teams send. */
+  /** Returns budgets in proportion to the load of the teams. */
   List<Long> budgets(double tokens) {
     return Arrays.stream(shares).mapToObj(share -> Math.round(tokens * share)).toList();
   }
 
-  /** Draws the place of a team. */
+  /** Draws the index of a team. */
   int draw(Random random) {
     double drawn = random.nextDouble();
     for (int team = 0; team < shares.length - 1; team++) {
@@ -37,7 +39,7 @@
     return shares.length - 1;
   }
 
-  /** Draws one of several kinds of request, each as often as it comes in a second. */
+  /** Draws a kind of request, weighted by its rate per second. */
   static <K> K drawKind(Random random, List<K> kinds, ToIntFunction<K> perS) {
     int drawn = random.nextInt(kinds.stream().mapToInt(perS).sum());
     for (K kind : kinds) {
