--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
@@ -309,8 +309,8 @@
             .filter(team -> inTimePercent(team) < 90)
             .mapToObj(team -> "%d: %.0f".formatted(team, inTimePercent(team)))
             .collect(Collectors.joining(", "));
-    return ("asked %d, entitled %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and %d ms, "
-            + "counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
+    return ("asked %d, entitled %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and "
+            + "%d ms, counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
         .formatted(
             requests.size(),
             entitledCount(),
