--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/GrantCalculator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/GrantCalculator.java
@@ -161,7 +161,7 @@
     if (state.returningAll()) {
       return new SpendingGrant(spentTokens, spentTokens, 0, 0, 0, 0);
     }
-    return calculate(state, spentTokens, holding(state, spentTokens));
+    return calculate(state, spentTokens, tokensToHold(state, spentTokens));
   }
 
   private static SpendingGrant calculate(TeamState state, long spentTokens, long held) {
@@ -209,24 +209,24 @@
   private static long immediateTokens(TeamState state, long spentTokens) {
     long typical = state.typicalOrDefaultTokens();
     double average = state.averageTokensPerS();
-    double least = Math.max(MIN_IMMEDIATE_S * average, MIN_IMMEDIATE_REQUESTS * typical);
+    double minimum = Math.max(MIN_IMMEDIATE_S * average, MIN_IMMEDIATE_REQUESTS * typical);
     if (!state.isLargeFleet()) {
-      return Math.round(least);
+      return Math.round(minimum);
     }
-    double ample = Math.max(MAX_IMMEDIATE_S * average, MAX_IMMEDIATE_REQUESTS * typical);
+    double maximum = Math.max(MAX_IMMEDIATE_S * average, MAX_IMMEDIATE_REQUESTS * typical);
     double affordable =
         MAX_IMMEDIATE_SHARE * state.remainingTokens(spentTokens) / state.holderCount();
-    return Math.round(Math.max(least, Math.min(ample, affordable)));
+    return Math.round(Math.max(minimum, Math.min(maximum, affordable)));
   }
 
-  private long holding(TeamState state, long spentTokens) {
+  private long tokensToHold(TeamState state, long spentTokens) {
     long held = held(state, spentTokens);
-    long most = held + state.unassignedTokens();
+    long maximum = held + state.unassignedTokens();
     long target = target(state, spentTokens);
     if (state.wantedTokens() > held) {
-      return Math.min(most, Math.max(target, state.wantedTokens()));
+      return Math.min(maximum, Math.max(target, state.wantedTokens()));
     }
-    return mayKeep(state, held, target) ? held : Math.min(most, target);
+    return mayKeep(state, held, target) ? held : Math.min(maximum, target);
   }
 
   /**
@@ -242,10 +242,10 @@
       return false;
     }
     boolean close = Math.abs(target - held) <= TOLERANCE * held + TOLERANCE_TOKENS;
-    boolean enough =
+    boolean sufficient =
         held >= MIN_HELD_FRACTION * target
             || held >= SUFFICIENT_REQUESTS * state.typicalOrDefaultTokens();
-    return close || (enough && !state.mayRebalance());
+    return close || (sufficient && !state.mayRebalance());
   }
 
   private static long held(TeamState state, long spentTokens) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/InstanceSpending.java
@@ -61,9 +61,9 @@
    * @return a row under which nothing more may be spent
    */
   public InstanceSpending closedAt(long nowStoreMs) {
-    long silentMs = Math.max(0, nowStoreMs - sentAtStoreMs);
+    long ageMs = Math.max(0, nowStoreMs - sentAtStoreMs);
     Map<String, SpendingGrant> closed = new TreeMap<>();
-    grants.forEach((team, grant) -> closed.put(team, grant.closedAfterMs(silentMs)));
+    grants.forEach((team, grant) -> closed.put(team, grant.closedAfterMs(ageMs)));
     return new InstanceSpending(nowStoreMs, host, peerPort, domain, closed);
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PeerSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/PeerSpending.java
@@ -59,8 +59,8 @@
     row.grants().forEach((team, grant) -> add(team, new Totals(0, 0, grant.limitTokens())));
   }
 
-  private void add(String team, Totals sums) {
-    byTeam.merge(team, sums, Totals::plus);
+  private void add(String team, Totals totals) {
+    byTeam.merge(team, totals, Totals::plus);
   }
 
   Totals of(String team) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ReservationBuilder.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/ReservationBuilder.java
@@ -47,11 +47,11 @@
   }
 
   private void settle(long usedTokens) {
-    long left = usedTokens;
+    long remainingTokens = usedTokens;
     for (PartialReservation part : parts) {
-      long usedHere = Math.min(left, part.tokens());
+      long usedHere = Math.min(remainingTokens, part.tokens());
       part.reservation().settle(usedHere);
-      left -= usedHere;
+      remainingTokens -= usedHere;
     }
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingController.java
@@ -213,11 +213,11 @@
       if (state.isKnownInsufficient(team, needTokens)) {
         return Optional.of(CompletableFuture.completedFuture(true));
       }
-      SpendingRenewal.RequestedRenewal asked = renewal.requestTokens(team, needTokens);
-      return asked.isTooLate()
+      SpendingRenewal.RequestedRenewal requested = renewal.requestTokens(team, needTokens);
+      return requested.isTooLate()
           ? Optional.empty()
           : Optional.of(
-              timeouts.completeWithin(asked.renewed(), asked.delayMs() + SLOW_RENEWAL_MS));
+              timeouts.completeWithin(requested.renewed(), requested.delayMs() + SLOW_RENEWAL_MS));
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingException.java
@@ -19,13 +19,16 @@
    * table has shown.
    *
    * @param team the team
-   * @param leftTokens the tokens that remain
+   * @param remainingTokens the tokens that remain
    * @param neededTokens the tokens that the request needs
    * @return the exception
    */
-  public static SpendingException budgetSpent(String team, long leftTokens, long neededTokens) {
+  public static SpendingException budgetSpent(
+      String team, long remainingTokens, long neededTokens) {
     return new SpendingException(
-        "team " + team + " has " + leftTokens + " tokens left, needed " + neededTokens, true, 0);
+        "team " + team + " has " + remainingTokens + " tokens left, needed " + neededTokens,
+        true,
+        0);
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
@@ -199,10 +199,10 @@
     if (teamsWithoutLender.contains(team)) {
       return CompletableFuture.completedFuture(null);
     }
-    CompletableFuture<Void> mine = new CompletableFuture<>();
-    CompletableFuture<Void> current = inFlightByTeam.putIfAbsent(team, mine);
-    if (current != null) {
-      return current;
+    CompletableFuture<Void> result = new CompletableFuture<>();
+    CompletableFuture<Void> inFlight = inFlightByTeam.putIfAbsent(team, result);
+    if (inFlight != null) {
+      return inFlight;
     }
     ask(team, needTokens, wantedTokens, lenders.stream().limit(MAX_LENDERS_ASKED).toList(), false)
         .thenAccept(
@@ -211,9 +211,9 @@
                 teamsWithoutLender.add(team);
               }
               inFlightByTeam.remove(team);
-              mine.complete(null);
+              result.complete(null);
             });
-    return mine;
+    return result;
   }
 
   /**
@@ -332,11 +332,11 @@
    */
   private CompletableFuture<LenderAnswer> askOne(
       InstanceRecord lender, PeerMessage.BorrowRequest request) {
-    CompletableFuture<LenderAnswer> borrowed = new CompletableFuture<>();
+    CompletableFuture<LenderAnswer> answer = new CompletableFuture<>();
     timers.after(
         request.mayGrow() ? REFILL_ANSWER_MS : ANSWER_MS,
         () -> {
-          if (borrowed.complete(LenderAnswer.NONE)) {
+          if (answer.complete(LenderAnswer.NONE)) {
             recordUnanswered(lender, request);
           }
         });
@@ -346,11 +346,14 @@
         .exceptionally(
             error -> {
               recordUnanswered(lender, request);
-              Logger.debug("loan request to {} failed: {}", lender.id(), Failures.unwrap(error).getMessage());
+              Logger.debug(
+                  "loan request to {} failed: {}",
+                  lender.id(),
+                  Failures.unwrap(error).getMessage());
               return LenderAnswer.NONE;
             })
-        .thenAccept(borrowed::complete);
-    return borrowed;
+        .thenAccept(answer::complete);
+    return answer;
   }
 
   private void recordUnanswered(InstanceRecord lender, PeerMessage.BorrowRequest request) {
@@ -369,10 +372,10 @@
     }
     long tokens =
         borrowReply.slices().stream().mapToLong(PeerMessage.BorrowReply.Slice::tokens).sum();
-    List<Loan> ofTeam =
+    List<Loan> teamLoans =
         loans.computeIfAbsent(request.budget(), name -> new CopyOnWriteArrayList<>());
-    ofTeam.removeIf(Loan::isSettled);
-    ofTeam.add(new Loan(lender, tokens));
+    teamLoans.removeIf(Loan::isSettled);
+    teamLoans.add(new Loan(lender, tokens));
     if (tokens > request.needTokens()) {
       Logger.info(
           "tokens borrowed team={} tokens={} lender={}", request.budget(), tokens, lender.id());
@@ -399,15 +402,15 @@
   void returnUnspent(String name) {
     loans.computeIfPresent(
         name,
-        (team, ofTeam) -> {
+        (team, teamLoans) -> {
           Map<InstanceRecord, Long> remainingByLender =
-              ofTeam.stream()
+              teamLoans.stream()
                   .collect(
                       Collectors.groupingBy(
                           Loan::lender, Collectors.summingLong(Loan::takeRemaining)));
           remainingByLender.forEach((lender, remaining) -> returnUnspent(team, lender, remaining));
-          ofTeam.removeIf(Loan::isSettled);
-          return ofTeam;
+          teamLoans.removeIf(Loan::isSettled);
+          return teamLoans;
         });
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingReader.java
@@ -92,8 +92,8 @@
    * second.
    */
   private long fullReadIntervalMs() {
-    long pauseMs = latestSnapshot.instances().size() * MS_PER_S / INSTANCE_ROWS_PER_S;
-    return pauseMs - MS_PER_S / 2;
+    long intervalMs = latestSnapshot.instances().size() * MS_PER_S / INSTANCE_ROWS_PER_S;
+    return intervalMs - MS_PER_S / 2;
   }
 
   private CompletableFuture<SpendingTable.Snapshot> readAll() {
@@ -119,15 +119,15 @@
                     Stream.concat(teams.stream(), ownRows.stream()).toList(), storeClock.nowMs()));
   }
 
-  private CompletableFuture<List<Row>> readPages(String prefix, String afterKey, List<Row> before) {
+  private CompletableFuture<List<Row>> readPages(String prefix, String afterKey, List<Row> rows) {
     return table
         .scan(SpendingTable.TABLE, prefix, afterKey, SpendingTable.MAX_ROWS)
         .thenCompose(
             page -> {
-              before.addAll(page);
+              rows.addAll(page);
               return page.size() < SpendingTable.MAX_ROWS
-                  ? CompletableFuture.completedFuture(before)
-                  : readPages(prefix, page.get(page.size() - 1).key().key(), before);
+                  ? CompletableFuture.completedFuture(rows)
+                  : readPages(prefix, page.get(page.size() - 1).key().key(), rows);
             });
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRefusals.java
@@ -45,8 +45,9 @@
         .find(team.name())
         .filter(spending -> isRowCurrent() && reader.fullReadAgeMs() < MAX_EVIDENCE_AGE_MS)
         .map(spending -> state.remainingTokens(team, spending))
-        .filter(leftTokens -> leftTokens < tokens)
-        .map(leftTokens -> SpendingException.budgetSpent(team.name(), leftTokens, tokens));
+        .filter(remainingTokens -> remainingTokens < tokens)
+        .map(
+            remainingTokens -> SpendingException.budgetSpent(team.name(), remainingTokens, tokens));
   }
 
   private boolean isRowCurrent() {
@@ -99,13 +100,13 @@
   }
 
   private static String describeState(
-      TeamSpending spending, long sinceRenewalMs, TeamTokens tokenLocations) {
+      TeamSpending spending, long renewalAgeMs, TeamTokens tokenLocations) {
     return "spent %d of %d, limit %d, renewed %d ms ago, %s"
         .formatted(
             spending.spentTokens(),
             spending.boundTokens(),
             spending.limitTokens(),
-            sinceRenewalMs,
+            renewalAgeMs,
             tokenLocations.describe());
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingRenewal.java
@@ -248,8 +248,8 @@
             outcome -> {
               renewals.onAttemptEnded(renewal, outcome == Outcome.WRITTEN);
               if (outcome == Outcome.CONFLICT && attemptsLeft > 1) {
-                long pauseMs = conflictBackoffMs(MAX_ATTEMPTS - attemptsLeft);
-                timers.after(pauseMs, () -> attempt(attemptsLeft - 1, false, renewal));
+                long backoffMs = conflictBackoffMs(MAX_ATTEMPTS - attemptsLeft);
+                timers.after(backoffMs, () -> attempt(attemptsLeft - 1, false, renewal));
                 return;
               }
               renewals.end(renewal, outcome == Outcome.WRITTEN || outcome == Outcome.SUPERSEDED);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingState.java
@@ -185,9 +185,9 @@
    */
   long remainingTokens(TeamPlan team, TeamSpending spending) {
     String name = team.name();
-    long elsewhere =
+    long peersSpentTokens =
         snapshot.spentTokens(name) - snapshot.instance(ownKey).grantOf(name).spentTokens();
-    return team.prepaidTokens().orElse(0) - elsewhere - spending.spentTokens();
+    return team.prepaidTokens().orElse(0) - peersSpentTokens - spending.spentTokens();
   }
 
   /**
@@ -256,10 +256,10 @@
         .filter(team -> team.prepaidTokens().isPresent())
         .forEach(team -> teams.computeIfAbsent(team.name(), name -> new TeamSpending(timers, 0)));
     updateDemand();
-    Map<String, Long> taken = wanted.take(wantedAtStart);
-    Map<String, TeamSpending.SentGrant> sent = new TreeMap<>();
+    Map<String, Long> wantedTokens = wanted.take(wantedAtStart);
+    Map<String, TeamSpending.SentGrant> grants = new TreeMap<>();
     ShareChangeSelector changes =
-        new ShareChangeSelector(transfers, taken.keySet(), teams.size(), rotationStart);
+        new ShareChangeSelector(transfers, wantedTokens.keySet(), teams.size(), rotationStart);
     for (Map.Entry<String, TeamSpending> entry : new TreeMap<>(teams).entrySet()) {
       boolean mayChange = changes.mayChange(entry.getKey());
       GrantCalculator.TeamState teamState =
@@ -269,15 +269,15 @@
               currentPlan,
               newSnapshot,
               peerSpending,
-              taken.getOrDefault(entry.getKey(), 0L),
+              wantedTokens.getOrDefault(entry.getKey(), 0L),
               transfers);
-      sent.put(
+      grants.put(
           entry.getKey(),
           entry.getValue().propose(spent -> calculator.calculate(teamState, spent, mayChange)));
     }
     rotationStart =
         teams.isEmpty() ? 0 : (rotationStart + ShareChangeSelector.MAX_CHANGES) % teams.size();
-    return new Proposal(sent, taken, transaction(newSnapshot, sent, sentAtStoreMs));
+    return new Proposal(grants, wantedTokens, transaction(newSnapshot, grants, sentAtStoreMs));
   }
 
   /**
@@ -364,15 +364,15 @@
       long wanted,
       ShareChangeSelector.AllowedTransfers transfers) {
     OptionalLong prepaid = prepaidTokens(currentPlan, team);
-    PeerSpending.Totals sums = peerSpending.of(team);
+    PeerSpending.Totals totals = peerSpending.of(team);
     return new GrantCalculator.TeamState(
         prepaid.orElse(0),
         newSnapshot.grantedTokens(team),
         newSnapshot.instance(ownKey).grantOf(team).limitTokens(),
-        sums.spentTokens(),
-        sums.demandTokensPerS(),
+        totals.spentTokens(),
+        totals.demandTokensPerS(),
         peerSpending.activeCount(),
-        sums.inactiveLimitTokens(),
+        totals.inactiveLimitTokens(),
         demandOf(team).peakTokensPerS(),
         demandOf(team).averageTokensPerS(),
         spending.typicalTokens(),
@@ -388,11 +388,11 @@
   }
 
   private PeerSpending totalPeerSpending(SpendingTable.Snapshot newSnapshot) {
-    Map<Boolean, List<InstanceSpending>> rowsByInTouch =
+    Map<Boolean, List<InstanceSpending>> rowsByActive =
         newSnapshot
             .peers(ownKey)
             .collect(Collectors.partitioningBy(row -> isActive(newSnapshot, row)));
-    return new PeerSpending(rowsByInTouch.get(true), rowsByInTouch.get(false), storeClock.nowMs());
+    return new PeerSpending(rowsByActive.get(true), rowsByActive.get(false), storeClock.nowMs());
   }
 
   private Demand demandOf(String team) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingTable.java
@@ -61,14 +61,14 @@
 
     static final Snapshot EMPTY = new Snapshot(Map.of(), Map.of(), 0, 0);
 
-    static Snapshot of(List<Row> rows, long wholeAtStoreMs) {
+    static Snapshot of(List<Row> rows, long readAtStoreMs) {
       Map<RowKey, Row> byKey =
           rows.stream().collect(Collectors.toMap(Row::key, Function.identity()));
       Map<RowKey, InstanceSpending> instances =
           rows.stream()
               .filter(row -> row.key().key().startsWith(INSTANCE_PREFIX))
               .collect(Collectors.toMap(Row::key, row -> InstanceSpending.read(row.cells())));
-      return new Snapshot(byKey, instances, wholeAtStoreMs, wholeAtStoreMs);
+      return new Snapshot(byKey, instances, readAtStoreMs, readAtStoreMs);
     }
 
     /** Returns a snapshot updated with the rows of all teams, and others. */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamHolders.java
@@ -35,12 +35,12 @@
    * Computes the holders.
    *
    * @param self this instance
-   * @param others the other instances that renew their rows
+   * @param peers the other instances that renew their rows
    */
-  TeamHolders(InstanceRecord self, List<InstanceRecord> others) {
+  TeamHolders(InstanceRecord self, List<InstanceRecord> peers) {
     this.self = self;
     this.byDomain =
-        Stream.concat(Stream.of(self), others.stream())
+        Stream.concat(Stream.of(self), peers.stream())
             .collect(Collectors.groupingBy(InstanceRecord::domain));
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamSpending.java
@@ -164,13 +164,13 @@
   /**
    * Proposes a grant that is about to be sent: from now on spending stays below it as well.
    *
-   * @param shape calculates the grant from the tokens spent so far
+   * @param calculator calculates the grant from the tokens spent so far
    * @return the grant to send
    */
-  public SentGrant propose(LongFunction<SpendingGrant> shape) {
+  public SentGrant propose(LongFunction<SpendingGrant> calculator) {
     long nowMs = timers.nowMs();
     while (true) {
-      SentGrant sent = new SentGrant(shape.apply(spentTokens.get()), nowMs);
+      SentGrant sent = new SentGrant(calculator.apply(spentTokens.get()), nowMs);
       possibleGrants.updateAndGet(
           before -> Stream.concat(before.stream(), Stream.of(sent)).toList());
       if (spentTokens.get() <= sent.boundAt(nowMs)) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
@@ -21,16 +21,16 @@
     long rowsAgeMs) {
 
   static TeamTokens of(
-      SpendingTable.Snapshot contents, RowKey ownKey, TeamPlan team, long nowStoreMs) {
+      SpendingTable.Snapshot snapshot, RowKey ownKey, TeamPlan team, long nowStoreMs) {
     long prepaidTokens = team.prepaidTokens().orElse(0);
-    List<SpendingGrant> others =
-        contents.peers(ownKey).map(row -> row.grantOf(team.name())).toList();
+    List<SpendingGrant> peerGrants =
+        snapshot.peers(ownKey).map(row -> row.grantOf(team.name())).toList();
     return new TeamTokens(
         prepaidTokens,
-        contents.unassignedTokens(team.name(), prepaidTokens),
-        others.stream().mapToLong(SpendingGrant::heldTokens).sum(),
-        others.stream().mapToLong(SpendingGrant::immediateTokens).sum(),
-        nowStoreMs - contents.fullReadAtStoreMs());
+        snapshot.unassignedTokens(team.name(), prepaidTokens),
+        peerGrants.stream().mapToLong(SpendingGrant::heldTokens).sum(),
+        peerGrants.stream().mapToLong(SpendingGrant::immediateTokens).sum(),
+        nowStoreMs - snapshot.fullReadAtStoreMs());
   }
 
   /** Checks whether the unassigned tokens alone would have covered a request. */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Timeouts.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/Timeouts.java
@@ -21,9 +21,9 @@
   }
 
   /** Returns a future that completes after a delay. */
-  CompletableFuture<Void> delay(long pauseMs) {
+  CompletableFuture<Void> delay(long delayMs) {
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
-    timers.after(pauseMs, () -> elapsed.complete(null));
+    timers.after(delayMs, () -> elapsed.complete(null));
     return elapsed;
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TokenReserver.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TokenReserver.java
@@ -67,14 +67,14 @@
       SpendingRenewal renewal,
       SpendingRefusals refusals,
       SpendingLoans.Refill refill,
-      Timeouts waits) {
+      Timeouts timeouts) {
     this.state = state;
     this.loans = loans;
     this.renewal = renewal;
     this.refusals = refusals;
     this.refill = refill;
     this.localTokens = new LocalTokens(state, loans);
-    this.timeouts = waits;
+    this.timeouts = timeouts;
   }
 
   /** Reserves tokens; fails with {@link SpendingException}. */
@@ -121,7 +121,7 @@
         .refill(team.name(), tokens)
         .orElseGet(() -> CompletableFuture.completedFuture(false))
         .thenCompose(
-            grown -> tryReserveOr(team, tokens, () -> borrowWithRefill(team, tokens, grown)));
+            refilled -> tryReserveOr(team, tokens, () -> borrowWithRefill(team, tokens, refilled)));
   }
 
   private CompletableFuture<SpendingReservation> borrowWithRefill(
@@ -184,9 +184,9 @@
       return timeouts.completeWithin(
           new CompletableFuture<>(), Math.min(MAX_WAIT_MS, releasedInMs));
     }
-    SpendingRenewal.RequestedRenewal asked = renewal.requestTokens(team, tokens);
-    long limitMs = asked.isTooLate() ? MAX_WAIT_MS : asked.delayMs() + MAX_WAIT_MS;
-    return timeouts.completeWithin(asked.renewed(), Math.min(limitMs, releasedInMs));
+    SpendingRenewal.RequestedRenewal requested = renewal.requestTokens(team, tokens);
+    long limitMs = requested.isTooLate() ? MAX_WAIT_MS : requested.delayMs() + MAX_WAIT_MS;
+    return timeouts.completeWithin(requested.renewed(), Math.min(limitMs, releasedInMs));
   }
 
   /**
@@ -220,7 +220,7 @@
     return timeouts
         .delay(LOAN_RETRY_MS)
         .thenCompose(
-            over -> tryReserveOr(team, tokens, () -> reserveFromLoan(team, tokens, rounds)));
+            elapsed -> tryReserveOr(team, tokens, () -> reserveFromLoan(team, tokens, rounds)));
   }
 
   private CompletableFuture<Void> borrow(TeamPlan team, long tokens) {
@@ -236,7 +236,7 @@
     }
     return timeouts
         .delay(releasedInMs)
-        .thenCompose(over -> tryReserveOr(team, tokens, () -> refuse(team, tokens)));
+        .thenCompose(elapsed -> tryReserveOr(team, tokens, () -> refuse(team, tokens)));
   }
 
   private long releasedInMs(TeamPlan team, long tokens) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void sharesFollowDemandWhenManyRequestsTellIt() {
+  void sharesFollowDemandWhenRequestsAreFrequent() {
     long perInstance = 10 * TYPICAL_TOKENS;
     long busy = holding(2 * perInstance, INSTANCES * perInstance);
     long quiet = holding(0, INSTANCES * perInstance);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void allSharesTogetherLeaveSomethingInTheTable() {
+  void sharesLeaveUnassignedTokensInTheTable() {
     long equal = holding(TYPICAL_TOKENS, INSTANCES * TYPICAL_TOKENS);
 
     assertThat(INSTANCES * equal).isLessThan(LEFT_TOKENS);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
@@ -42,7 +42,12 @@
 
   /** One kind of request, with log-normally distributed sizes. */
   private record Kind(
-      int perS, double medianTokens, double spread, long aimMs, long tookMs, double usedShare) {
+      int perS,
+      double medianTokens,
+      double spread,
+      long targetLatencyMs,
+      long tookMs,
+      double usedShare) {
 
     long draw(Random random) {
       return Math.round(medianTokens * Math.exp(spread * random.nextGaussian()));
@@ -61,7 +66,7 @@
 
   private static final UnevenTeams UNEVEN = new UnevenTeams(TEAMS);
 
-  final SpendingSimulation world;
+  final SpendingSimulation simulation;
   private final List<String> teams = UNEVEN.names();
   private final List<Long> budgets;
   private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
@@ -69,7 +74,7 @@
   private final long[] reservedTokens = new long[TEAMS];
   private final List<Request> requests = new ArrayList<>();
   private double dueRequests;
-  private boolean cut;
+  private boolean storeUnreachable;
   private int hotTeams;
   private double hotShare;
 
@@ -81,7 +86,7 @@
    */
   FleetLoad(long budgetS, long seed) {
     this.budgets = budgets(budgetS);
-    this.world = new SpendingSimulation(teams, budgets, seed);
+    this.simulation = new SpendingSimulation(teams, budgets, seed);
   }
 
   /** One request of a caller, at its first instance or at a second one after a refusal. */
@@ -90,16 +95,16 @@
     private final int team;
     private final long tokens;
     private final boolean entitled;
-    private final long askedMs;
+    private final long sentMs;
     private final List<Long> refusedAfterMs = new ArrayList<>();
     private boolean servedInTime;
 
-    Request(Kind kind, int team, long tokens, boolean owed, long askedMs) {
+    Request(Kind kind, int team, long tokens, boolean entitled, long sentMs) {
       this.kind = kind;
       this.team = team;
       this.tokens = tokens;
-      this.entitled = owed;
-      this.askedMs = askedMs;
+      this.entitled = entitled;
+      this.sentMs = sentMs;
     }
   }
 
@@ -110,10 +115,10 @@
 
   /** Starts all instances, before the first request. */
   void start() {
-    world.serializeWrites(WRITE_MS);
-    world.delayPeers(PEER_MS);
+    simulation.serializeWrites(WRITE_MS);
+    simulation.delayPeers(PEER_MS);
     startAll();
-    world.timers.advanceMs(BEFORE_TRAFFIC_MS);
+    simulation.timers.advanceMs(BEFORE_TRAFFIC_MS);
   }
 
   private void startAll() {
@@ -121,41 +126,42 @@
     for (int domain = 0; domain < INSTANCES_BY_DOMAIN.length; domain++) {
       for (int place = 0; place < INSTANCES_BY_DOMAIN[domain]; place++) {
         int started = instances.size();
-        world.timers.advanceMs(
+        simulation.timers.advanceMs(
             START_SPREAD_MS * (started + 1) / ALL_INSTANCES
                 - START_SPREAD_MS * started / ALL_INSTANCES);
-        SpendingSimulation.SimulatedInstance member = world.start("domain" + domain + "-" + place);
-        member.cutFromTable = cut;
-        instances.add(member);
+        SpendingSimulation.SimulatedInstance instance =
+            simulation.start("domain" + domain + "-" + place);
+        instance.tableUnreachable = storeUnreachable;
+        instances.add(instance);
       }
     }
   }
 
   /** Makes the store unreachable for all instances. */
-  void cut() {
-    cut = true;
-    instances.forEach(member -> member.cutFromTable = true);
+  void disconnectStore() {
+    storeUnreachable = true;
+    instances.forEach(instance -> instance.tableUnreachable = true);
   }
 
   /** Makes the store reachable again. */
   void reconnectStore() {
-    cut = false;
-    instances.forEach(member -> member.cutFromTable = false);
+    storeUnreachable = false;
+    instances.forEach(instance -> instance.tableUnreachable = false);
   }
 
   /** Ends all processes at the same moment and starts their successors later. */
   void losePower(long outageMs) {
     instances.forEach(SpendingSimulation.SimulatedInstance::kill);
-    world.timers.advanceMs(outageMs);
+    simulation.timers.advanceMs(outageMs);
     startAll();
   }
 
   /** Sends requests for a time. */
-  void serve(double seconds) {
+  void sendRequests(double seconds) {
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
-      world.timers.advanceMs(1);
+      simulation.timers.advanceMs(1);
       for (dueRequests += (double) REQUESTS_PER_S / MS_PER_S; dueRequests >= 1; dueRequests--) {
-        ask();
+        sendRequest();
       }
     }
   }
@@ -165,36 +171,36 @@
     requests.clear();
   }
 
-  private void ask() {
-    Kind kind = UnevenTeams.drawKind(world.random, KINDS, Kind::perS);
+  private void sendRequest() {
+    Kind kind = UnevenTeams.drawKind(simulation.random, KINDS, Kind::perS);
     int team = drawTeam();
-    long tokens = kind.draw(world.random);
+    long tokens = kind.draw(simulation.random);
     Request request =
-        new Request(kind, team, tokens, isEntitled(team, tokens), world.timers.nowMs());
+        new Request(kind, team, tokens, isEntitled(team, tokens), simulation.timers.nowMs());
     requests.add(request);
-    ask(request, true);
+    sendRequest(request, true);
   }
 
-  private void ask(Request request, boolean mayComeBack) {
-    instanceFor(request.team).ifPresent(member -> ask(request, member, mayComeBack));
+  private void sendRequest(Request request, boolean mayRetry) {
+    instanceFor(request.team).ifPresent(instance -> sendRequest(request, instance, mayRetry));
   }
 
-  private void ask(
-      Request request, SpendingSimulation.SimulatedInstance member, boolean mayComeBack) {
-    long triedMs = world.timers.nowMs();
+  private void sendRequest(
+      Request request, SpendingSimulation.SimulatedInstance instance, boolean mayRetry) {
+    long attemptedMs = simulation.timers.nowMs();
     var unused =
-        member
+        instance
             .reserve(teams.get(request.team), request.tokens)
             .whenComplete(
                 (reservation, error) -> {
-                  if (member.dead) {
+                  if (instance.killed) {
                     return;
                   }
                   if (error == null) {
-                    onReserved(request, member, reservation);
+                    onReserved(request, instance, reservation);
                   } else {
-                    request.refusedAfterMs.add(world.timers.nowMs() - triedMs);
-                    onRefused(request, (SpendingException) Failures.unwrap(error), mayComeBack);
+                    request.refusedAfterMs.add(simulation.timers.nowMs() - attemptedMs);
+                    onRefused(request, (SpendingException) Failures.unwrap(error), mayRetry);
                   }
                 });
   }
@@ -210,42 +216,42 @@
   }
 
   private int drawTeam() {
-    return world.random.nextDouble() < hotShare
-        ? world.random.nextInt(hotTeams)
-        : UNEVEN.draw(world.random);
+    return simulation.random.nextDouble() < hotShare
+        ? simulation.random.nextInt(hotTeams)
+        : UNEVEN.draw(simulation.random);
   }
 
   /** Draws the instance for a request; empty if it has not started yet. */
   private Optional<SpendingSimulation.SimulatedInstance> instanceFor(int team) {
     int place =
         Arrays.stream(PINNED_TEAMS)
-            .filter(bound -> bound[0] == team)
-            .mapToInt(bound -> bound[1])
+            .filter(pinned -> pinned[0] == team)
+            .mapToInt(pinned -> pinned[1])
             .findFirst()
-            .orElseGet(() -> world.random.nextInt(ALL_INSTANCES));
+            .orElseGet(() -> simulation.random.nextInt(ALL_INSTANCES));
     return place < instances.size() ? Optional.of(instances.get(place)) : Optional.empty();
   }
 
   private void onReserved(
       Request request,
-      SpendingSimulation.SimulatedInstance member,
+      SpendingSimulation.SimulatedInstance instance,
       SpendingReservation reservation) {
-    long tookMs = world.timers.nowMs() - request.askedMs;
-    request.servedInTime = tookMs <= request.kind.aimMs() / TARGET_LATENCY_DIVISOR;
+    long tookMs = simulation.timers.nowMs() - request.sentMs;
+    request.servedInTime = tookMs <= request.kind.targetLatencyMs() / TARGET_LATENCY_DIVISOR;
     long used = Math.round(request.tokens * request.kind.usedShare());
     reservedTokens[request.team] += request.tokens;
-    world.timers.after(
+    simulation.timers.after(
         request.kind.tookMs(),
         () -> {
           reservedTokens[request.team] -= request.tokens;
           usedTokens[request.team] += used;
         });
-    member.after(request.kind.tookMs(), () -> reservation.settle(used));
+    instance.after(request.kind.tookMs(), () -> reservation.settle(used));
   }
 
-  private void onRefused(Request request, SpendingException refusal, boolean mayComeBack) {
-    if (mayComeBack && !refusal.isBudgetSpent()) {
-      world.timers.after(refusal.retryAfterMs(), () -> ask(request, false));
+  private void onRefused(Request request, SpendingException refusal, boolean mayRetry) {
+    if (mayRetry && !refusal.isBudgetSpent()) {
+      simulation.timers.after(refusal.retryAfterMs(), () -> sendRequest(request, false));
     }
   }
 
@@ -260,9 +266,9 @@
   }
 
   private static double percent(List<Request> some) {
-    List<Request> owed = some.stream().filter(request -> request.entitled).toList();
-    long inTime = owed.stream().filter(request -> request.servedInTime).count();
-    return owed.isEmpty() ? 100 : 100.0 * inTime / owed.size();
+    List<Request> entitled = some.stream().filter(request -> request.entitled).toList();
+    long inTime = entitled.stream().filter(request -> request.servedInTime).count();
+    return entitled.isEmpty() ? 100 : 100.0 * inTime / entitled.size();
   }
 
   /** Returns the number of requests that must be served. */
@@ -296,10 +302,10 @@
 
   /** Returns the percentage of all budgets that counts as spent in the table. */
   double spentInTablePercent() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
-    SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
-    long counted = teams.stream().mapToLong(contents::spentTokens).sum();
-    return 100.0 * counted / budgets.stream().mapToLong(Long::longValue).sum();
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    SpendingTable.Snapshot snapshot = SpendingTable.Snapshot.of(rows, 0);
+    long spentTokens = teams.stream().mapToLong(snapshot::spentTokens).sum();
+    return 100.0 * spentTokens / budgets.stream().mapToLong(Long::longValue).sum();
   }
 
   @Override
@@ -320,8 +326,8 @@
             refusedAfterMs(50),
             refusedAfterMs(90),
             spentInTablePercent(),
-            world.writeCount(),
-            world.conflictCount(),
+            simulation.writeCount(),
+            simulation.conflictCount(),
             worst);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
@@ -36,7 +36,7 @@
   // An instance that no longer renews its row may be partitioned and still spending, up to its
   // limit.
   @Test
-  void countsTheWholeLimitOfSilentInstances() {
+  void countsTheFullLimitOfInactiveInstances() {
     PeerSpending others =
         new PeerSpending(
             List.of(row(NOW_MS, "branch", 1_000, 5_000)),
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/ReservationBuilderTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/ReservationBuilderTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void takesFromTheNextPlaceOnlyWhatIsStillMissing() {
+  void takesOnlyMissingTokensFromTheNextSource() {
     assertThat(reserve(9_000)).isPresent();
 
     assertThat(first.remainingTokens()).isEqualTo(0);
@@ -33,7 +33,7 @@
   // Guards against lost tokens: if all sources together have too few, the parts reserved so far
   // must be returned, or no later request can use them.
   @Test
-  void givesAllBackWhenThePiecesAreTooLittle() {
+  void cancelsAllPartsWhenTheyAreInsufficient() {
     assertThat(reserve(12_000)).isEmpty();
 
     assertThat(first.remainingTokens()).isEqualTo(5_000);
@@ -43,7 +43,7 @@
   // Guards against tokens that are charged twice: a request uses fewer tokens than were reserved.
   // Each source, in order, is charged for what was used there and gets the rest back.
   @Test
-  void chargesThePlacesInTheirOrder() {
+  void chargesSourcesInOrder() {
     reserve(9_000).orElseThrow().settle(5_500);
 
     assertThat(first.remainingTokens()).isEqualTo(0);
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void loanIsOverOnlyWhenNothingCanComeBack() {
+  void loanIsSettledOnlyWhenNoTokensCanBeReturned() {
     SpendingReservation reservation = reserve(5_000).orElseThrow();
     assertThat(first.isSettled()).isFalse();
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingAfterPowerLossTest.java
@@ -28,23 +28,23 @@
   // paid for.
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 17})
-  void callersAreServedAfterPowerLossInsideCut(long seed) {
+  void callersAreServedAfterPowerLossDuringStoreOutage(long seed) {
     // GIVEN
     FleetLoad load = new FleetLoad(BUDGET_S, seed);
     load.start();
-    load.serve(10);
+    load.sendRequests(10);
     load.concentrateLoad(HOT_TEAMS, HOT_SHARE);
-    load.serve(6);
+    load.sendRequests(6);
     load.concentrateLoad(0, 0);
-    load.cut();
-    load.serve(4);
+    load.disconnectStore();
+    load.sendRequests(4);
     // WHEN
     load.losePower(OUTAGE_MS);
-    load.serve(3);
+    load.sendRequests(3);
     load.reconnectStore();
-    load.serve(15);
+    load.sendRequests(15);
     load.resetCounts();
-    load.serve(5);
+    load.sendRequests(5);
     // THEN
     assertWithMessage("%s", load).that(load.inTimePercent()).isAtLeast(IN_TIME_PERCENT);
   }
@@ -57,16 +57,16 @@
     // GIVEN
     FleetLoad load = new FleetLoad(SHORT_BUDGET_S, seed);
     load.start();
-    load.serve(16);
-    load.cut();
-    load.serve(8);
+    load.sendRequests(16);
+    load.disconnectStore();
+    load.sendRequests(8);
     load.reconnectStore();
-    load.serve(4);
+    load.sendRequests(4);
     load.losePower(OUTAGE_MS);
-    load.serve(9);
+    load.sendRequests(9);
     load.resetCounts();
     // WHEN
-    load.serve(5);
+    load.sendRequests(5);
     // THEN
     assertWithMessage("%s", load)
         .that(load.refusedAfterMs(90))
@@ -79,12 +79,12 @@
     // GIVEN
     FleetLoad load = new FleetLoad(BUDGET_S, 17);
     load.start();
-    load.serve(10);
+    load.sendRequests(10);
     load.losePower(OUTAGE_MS);
-    load.serve(2);
+    load.sendRequests(2);
     load.resetCounts();
     // WHEN
-    load.serve(6);
+    load.sendRequests(6);
     // THEN
     assertWithMessage("%s", load).that(load.inTimePercent()).isAtLeast(IN_TIME_PERCENT);
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingControllerTest.java
@@ -9,13 +9,13 @@
 
   private static final long SETTLED_MS = 6_000;
 
-  private final SpendingSimulation world = new SpendingSimulation(120_000, 7);
-  private final SpendingSimulation.SimulatedInstance first = world.start("ankara-1");
-  private final SpendingSimulation.SimulatedInstance second = world.start("konya-1");
+  private final SpendingSimulation simulation = new SpendingSimulation(120_000, 7);
+  private final SpendingSimulation.SimulatedInstance first = simulation.start("ankara-1");
+  private final SpendingSimulation.SimulatedInstance second = simulation.start("konya-1");
 
-  private static int reserveAll(SpendingSimulation.SimulatedInstance member, long tokens) {
+  private static int reserveAll(SpendingSimulation.SimulatedInstance instance, long tokens) {
     int granted = 0;
-    while (member.tryReserve(tokens)) {
+    while (instance.tryReserve(tokens)) {
       granted++;
     }
     return granted;
@@ -23,7 +23,7 @@
 
   @Test
   void instancesCountEachOther() {
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
 
     assertThat(first.spending.instanceCount()).isEqualTo(2);
     assertThat(first.spending.peers().stream().map(other -> other.id()).toList())
@@ -32,24 +32,24 @@
 
   @Test
   void refusesBeforeTheTableWasRead() {
-    first.cutFromTable = true;
+    first.tableUnreachable = true;
 
     assertThat(first.tryReserve(100)).isFalse();
-    world.timers.advanceMs(2_000);
+    simulation.timers.advanceMs(2_000);
 
     assertThat(first.lastRefusal).contains("no row yet");
-    assertThat(world.spentTokens()).isEqualTo(0);
+    assertThat(simulation.spentTokens()).isEqualTo(0);
   }
 
   // Both instances lose the table for ten seconds. Requests are still served from held tokens,
   // which the bound releases step by step.
   @Test
   void keepsSpendingDuringLongStoreOutage() {
-    world.timers.advanceMs(SETTLED_MS);
-    first.cutFromTable = true;
+    simulation.timers.advanceMs(SETTLED_MS);
+    first.tableUnreachable = true;
     int granted = 0;
     for (int second = 0; second < 20; second++) {
-      world.timers.advanceMs(500);
+      simulation.timers.advanceMs(500);
       granted += first.tryReserve(1_000) ? 1 : 0;
     }
     assertThat(granted).isAtLeast(15);
@@ -59,22 +59,23 @@
   // what may have been spent, and the rest of the held tokens is available again.
   @Test
   void crashLosesOnlyImmediateTokens() {
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
     first.tryReserve(1_000);
-    world.timers.advanceMs(1_500);
-    assertThat(world.spentTokens()).isEqualTo(1_000);
+    simulation.timers.advanceMs(1_500);
+    assertThat(simulation.spentTokens()).isEqualTo(1_000);
     first.kill();
-    world.timers.advanceMs(700);
+    simulation.timers.advanceMs(700);
 
-    world.start("ankara-1");
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.start("ankara-1");
+    simulation.timers.advanceMs(SETTLED_MS);
 
-    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingSimulation.TEAM);
-    assertThat(left).isAtLeast(110_000);
+    long remainingTokens =
+        simulation.prepaidTokens() - tableSnapshot().spentTokens(SpendingSimulation.TEAM);
+    assertThat(remainingTokens).isAtLeast(110_000);
   }
 
-  private SpendingTable.Snapshot contentsOfTable() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+  private SpendingTable.Snapshot tableSnapshot() {
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
     return SpendingTable.Snapshot.of(rows, 0);
   }
 
@@ -82,21 +83,22 @@
   // but reaches the table only after seconds. The previous process cannot have spent what would
   // have been released since then, so the team loses none of it.
   @Test
-  void crashLosesNothingForTheTimeAfterTheSuccessorBegan() {
-    world.timers.advanceMs(SETTLED_MS);
+  void crashLosesNothingReleasedAfterTheSuccessorStarted() {
+    simulation.timers.advanceMs(SETTLED_MS);
     first.tryReserve(1_000);
-    world.timers.advanceMs(1_500);
+    simulation.timers.advanceMs(1_500);
     first.kill();
-    world.timers.advanceMs(500);
+    simulation.timers.advanceMs(500);
 
-    SpendingSimulation.SimulatedInstance successor = world.start("ankara-1");
-    successor.cutFromTable = true;
-    world.timers.advanceMs(9_000);
-    successor.cutFromTable = false;
-    world.timers.advanceMs(SETTLED_MS);
+    SpendingSimulation.SimulatedInstance successor = simulation.start("ankara-1");
+    successor.tableUnreachable = true;
+    simulation.timers.advanceMs(9_000);
+    successor.tableUnreachable = false;
+    simulation.timers.advanceMs(SETTLED_MS);
 
-    long left = world.prepaidTokens() - contentsOfTable().spentTokens(SpendingSimulation.TEAM);
-    assertThat(left).isAtLeast(110_000);
+    long remainingTokens =
+        simulation.prepaidTokens() - tableSnapshot().spentTokens(SpendingSimulation.TEAM);
+    assertThat(remainingTokens).isAtLeast(110_000);
   }
 
   // Guards against refusing requests right after a start: the table answers only after half a
@@ -104,28 +106,28 @@
   // for the first row.
   @Test
   void requestThatComesBeforeTheFirstRowWaitsForIt() {
-    world.timers.advanceMs(SETTLED_MS);
-    SpendingSimulation.SimulatedInstance starting = world.start("kayseri-1");
-    starting.cutFromTable = true;
+    simulation.timers.advanceMs(SETTLED_MS);
+    SpendingSimulation.SimulatedInstance starting = simulation.start("kayseri-1");
+    starting.tableUnreachable = true;
     starting.tryReserve(500);
-    world.timers.advanceMs(450);
-    starting.cutFromTable = false;
+    simulation.timers.advanceMs(450);
+    starting.tableUnreachable = false;
 
-    world.timers.advanceMs(600);
+    simulation.timers.advanceMs(600);
 
-    assertThat(world.spentTokens()).isEqualTo(500);
+    assertThat(simulation.spentTokens()).isEqualTo(500);
   }
 
   // Guards against missing a short recovery: the table is unreachable for seconds and back for less
   // than one. The row must be renewed in that time, or a crash in the next outage loses all tokens
   // released since the first one.
   @Test
-  void renewsWithinHalfSecondWhenTheTableIsBack() {
-    world.timers.advanceMs(SETTLED_MS);
-    first.cutFromTable = true;
-    world.timers.advanceMs(5_050);
-    first.cutFromTable = false;
-    world.timers.advanceMs(500);
+  void renewsWithinHalfSecondWhenTheTableIsReachableAgain() {
+    simulation.timers.advanceMs(SETTLED_MS);
+    first.tableUnreachable = true;
+    simulation.timers.advanceMs(5_050);
+    first.tableUnreachable = false;
+    simulation.timers.advanceMs(500);
 
     assertThat(first.spending.renewalAgeMs()).isAtMost(500);
   }
@@ -133,19 +135,19 @@
   // One instance has spent all its tokens when the table becomes unreachable, and the other holds
   // enough. The request is served from a loan instead of being refused.
   @Test
-  void borrowsFromAnotherInstanceWhileTheTableIsAway() {
-    world.timers.advanceMs(SETTLED_MS);
-    first.cutFromTable = true;
-    second.cutFromTable = true;
-    world.timers.advanceMs(20_000);
+  void borrowsFromAnotherInstanceWhileTheTableIsUnreachable() {
+    simulation.timers.advanceMs(SETTLED_MS);
+    first.tableUnreachable = true;
+    second.tableUnreachable = true;
+    simulation.timers.advanceMs(20_000);
     reserveAll(first, 5_000);
-    long before = world.spentTokens();
+    long before = simulation.spentTokens();
 
     first.tryReserve(5_000);
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.spentTokens()).isAtLeast(before + 5_000);
-    assertThat(world.spentTokens()).isAtMost(world.prepaidTokens());
+    assertThat(simulation.spentTokens()).isAtLeast(before + 5_000);
+    assertThat(simulation.spentTokens()).isAtMost(simulation.prepaidTokens());
   }
 
   // Guards against refusals shortly before tokens are released: all instances have just lost the
@@ -153,37 +155,37 @@
   // delay of a retry.
   @Test
   void waitsForTokensReleasedSoon() {
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
     first.tryReserve(2_000);
-    world.timers.advanceMs(1_000);
-    first.cutFromTable = true;
-    first.cutFromPeers = true;
-    world.timers.advanceMs(1_600);
+    simulation.timers.advanceMs(1_000);
+    first.tableUnreachable = true;
+    first.peersUnreachable = true;
+    simulation.timers.advanceMs(1_600);
     reserveAll(first, 100);
-    long before = world.spentTokens();
+    long before = simulation.spentTokens();
 
     first.tryReserve(250);
-    world.timers.advanceMs(900);
+    simulation.timers.advanceMs(900);
 
-    assertThat(world.spentTokens()).isAtLeast(before + 250);
+    assertThat(simulation.spentTokens()).isAtLeast(before + 250);
   }
 
   @Test
-  void saysThatBudgetIsSpentOnlyWhenTheWholeTableShowsIt() {
-    world.timers.advanceMs(SETTLED_MS);
-    for (SpendingSimulation.SimulatedInstance member : List.of(first, second)) {
+  void reportsSpentBudgetOnlyAfterFullRead() {
+    simulation.timers.advanceMs(SETTLED_MS);
+    for (SpendingSimulation.SimulatedInstance instance : List.of(first, second)) {
       for (int round = 0; round < 200; round++) {
-        member.tryReserve(7_000);
-        world.timers.advanceMs(100);
+        instance.tryReserve(7_000);
+        simulation.timers.advanceMs(100);
       }
     }
-    assertThat(world.spentTokens()).isAtLeast(110_000);
+    assertThat(simulation.spentTokens()).isAtLeast(110_000);
     assertThat(first.lastRefusal).contains("tokens left");
 
-    first.cutFromTable = true;
-    world.timers.advanceMs(5_000);
+    first.tableUnreachable = true;
+    simulation.timers.advanceMs(5_000);
     first.tryReserve(50_000);
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
     assertThat(first.lastRefusal).contains("at hand");
   }
@@ -191,14 +193,14 @@
   // Guards against slow refusals: the rows of the last second show that the team has spent its
   // budget, so a request is refused immediately and not after every instance was asked.
   @Test
-  void refusesAtOnceWhatTheLastRowsShowToBeSpent() {
-    world.timers.advanceMs(SETTLED_MS);
+  void refusesImmediatelyWhenTheLatestRowsShowSpentBudget() {
+    simulation.timers.advanceMs(SETTLED_MS);
     for (int round = 0; round < 200; round++) {
       first.tryReserve(7_000);
       second.tryReserve(7_000);
-      world.timers.advanceMs(100);
+      simulation.timers.advanceMs(100);
     }
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
     first.lastRefusal = "";
 
     first.tryReserve(50_000);
@@ -210,61 +212,61 @@
   // hold less than a request needs. A request that fits into both parts together must be served.
   @Test
   void servesRequestFromTheLastTokensOfSeveralInstances() {
-    world.timers.advanceMs(SETTLED_MS);
-    while (world.spentTokens() < 110_000) {
+    simulation.timers.advanceMs(SETTLED_MS);
+    while (simulation.spentTokens() < 110_000) {
       first.tryReserve(4_000);
       second.tryReserve(4_000);
-      world.timers.advanceMs(200);
+      simulation.timers.advanceMs(200);
     }
     second.tryReserve(2_000);
-    world.timers.advanceMs(200);
-    long left = world.prepaidTokens() - world.spentTokens();
-    world.timers.advanceMs(3_000);
-    long before = world.spentTokens();
+    simulation.timers.advanceMs(200);
+    long remainingTokens = simulation.prepaidTokens() - simulation.spentTokens();
+    simulation.timers.advanceMs(3_000);
+    long before = simulation.spentTokens();
 
-    first.tryReserve(left);
-    world.timers.advanceMs(2_000);
+    first.tryReserve(remainingTokens);
+    simulation.timers.advanceMs(2_000);
 
-    assertThat(world.spentTokens()).isEqualTo(before + left);
-    assertThat(world.spentTokens()).isEqualTo(world.prepaidTokens());
+    assertThat(simulation.spentTokens()).isEqualTo(before + remainingTokens);
+    assertThat(simulation.spentTokens()).isEqualTo(simulation.prepaidTokens());
   }
 
   // Guards against spending beyond an unconfirmed row: a renewal takes effect but its answer is
   // lost, and then the table becomes unreachable. The instance spends all that it may and crashes;
   // a reader of the current row must count no fewer tokens.
   @Test
-  void spendsNoMoreThanAnUnansweredRowShows() {
-    world.timers.advanceMs(SETTLED_MS);
+  void spendsNoMoreThanAnUnconfirmedRowAllows() {
+    simulation.timers.advanceMs(SETTLED_MS);
     first.tryReserve(3_000);
-    world.timers.advanceMs(3_000);
+    simulation.timers.advanceMs(3_000);
     first.answersLost = true;
-    world.timers.advanceMs(1_100);
-    first.cutFromTable = true;
-    first.cutFromPeers = true;
-    world.timers.advanceMs(1_100);
+    simulation.timers.advanceMs(1_100);
+    first.tableUnreachable = true;
+    first.peersUnreachable = true;
+    simulation.timers.advanceMs(1_100);
 
     reserveAll(first, 100);
     first.kill();
 
-    InstanceSpending row = contentsOfTable().instance(SpendingTable.instanceKey("ankara-1"));
+    InstanceSpending row = tableSnapshot().instance(SpendingTable.instanceKey("ankara-1"));
     long counted =
-        row.closedAt(world.timers.nowMs()).grantOf(SpendingSimulation.TEAM).spentTokens();
-    assertThat(world.spentTokens()).isAtLeast(3_000);
-    assertThat(counted).isAtLeast(world.spentTokens());
+        row.closedAt(simulation.timers.nowMs()).grantOf(SpendingSimulation.TEAM).spentTokens();
+    assertThat(simulation.spentTokens()).isAtLeast(3_000);
+    assertThat(counted).isAtLeast(simulation.spentTokens());
   }
 
   @Test
   void returnsAllTokensOnShutdown() {
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
     first.tryReserve(1_000);
-    world.timers.advanceMs(500);
+    simulation.timers.advanceMs(500);
     first.settleOne(400);
 
     first.spending.returnUnspentTokens();
-    world.timers.advanceMs(100);
+    simulation.timers.advanceMs(100);
 
     SpendingGrant left =
-        contentsOfTable()
+        tableSnapshot()
             .instance(SpendingTable.instanceKey("ankara-1"))
             .grantOf(SpendingSimulation.TEAM);
     assertThat(left.spentTokens()).isEqualTo(400);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
@@ -55,7 +55,7 @@
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
-  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 5, teams);
+  private final SpendingSimulation simulation = new SpendingSimulation(PREPAID_TOKENS, 5, teams);
   private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private long spentTokens;
   private int asked;
@@ -63,43 +63,43 @@
 
   private void startAll() {
     instances.clear();
-    INSTANCES.forEach(id -> instances.add(world.start(id)));
+    INSTANCES.forEach(id -> instances.add(simulation.start(id)));
   }
 
   private int nextTokens() {
-    boolean isLong = world.random.nextInt(LONG_SHARE) == 0;
-    return LEAST_TOKENS + world.random.nextInt(isLong ? LONG_TOKENS : MORE_TOKENS);
+    boolean isLong = simulation.random.nextInt(LONG_SHARE) == 0;
+    return LEAST_TOKENS + simulation.random.nextInt(isLong ? LONG_TOKENS : MORE_TOKENS);
   }
 
-  private void ask() {
-    String team = teams.get(world.random.nextInt(TEAMS));
+  private void sendRequest() {
+    String team = teams.get(simulation.random.nextInt(TEAMS));
     long tokens = nextTokens();
-    long askedMs = world.timers.nowMs();
+    long sentMs = simulation.timers.nowMs();
     asked++;
-    SpendingSimulation.SimulatedInstance member =
-        instances.get(world.random.nextInt(instances.size()));
+    SpendingSimulation.SimulatedInstance instance =
+        instances.get(simulation.random.nextInt(instances.size()));
     var unused =
-        member
+        instance
             .reserve(team, tokens)
             .thenAccept(
                 reservation -> {
-                  spentTokens += member.dead ? 0 : tokens;
-                  inTime += world.timers.nowMs() - askedMs <= IN_TIME_MS ? 1 : 0;
+                  spentTokens += instance.killed ? 0 : tokens;
+                  inTime += simulation.timers.nowMs() - sentMs <= IN_TIME_MS ? 1 : 0;
                 });
   }
 
-  private void serve(long seconds) {
+  private void sendRequests(long seconds) {
     long stepsPerS = 1_000 / STEP_MS;
     for (long step = 0; step < seconds * stepsPerS; step++) {
-      world.timers.advanceMs(STEP_MS);
+      simulation.timers.advanceMs(STEP_MS);
       for (int request = 0; request < REQUESTS_PER_S / stepsPerS; request++) {
-        ask();
+        sendRequest();
       }
     }
   }
 
   private long countedTokens() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
     SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
     return teams.stream().mapToLong(contents::spentTokens).sum();
   }
@@ -110,11 +110,11 @@
   @Test
   void powerLossOfAllInstancesCostsFewTokens() {
     startAll();
-    serve(SETTLED_S);
+    sendRequests(SETTLED_S);
     instances.forEach(SpendingSimulation.SimulatedInstance::kill);
-    world.timers.advanceMs(OUTAGE_MS);
+    simulation.timers.advanceMs(OUTAGE_MS);
     startAll();
-    world.timers.advanceMs(500);
+    simulation.timers.advanceMs(500);
 
     long lostTokens = countedTokens() - spentTokens;
     assertThat(lostTokens).isAtLeast(0);
@@ -124,15 +124,15 @@
   // All instances lose the store for eight seconds. Requests are served from the holders' immediate
   // tokens and from tokens that are released while they wait.
   @Test
-  void mostCallersAreServedInTimeThroughCutOfAllInstances() {
+  void mostCallersAreServedInTimeDuringStoreOutage() {
     startAll();
-    serve(SETTLED_S);
+    sendRequests(SETTLED_S);
     asked = 0;
     inTime = 0;
-    instances.forEach(member -> member.cutFromTable = true);
-    serve(8);
-    instances.forEach(member -> member.cutFromTable = false);
-    serve(2);
+    instances.forEach(instance -> instance.tableUnreachable = true);
+    sendRequests(8);
+    instances.forEach(instance -> instance.tableUnreachable = false);
+    sendRequests(2);
 
     assertThat(inTime).isAtLeast(asked * LEAST_IN_TIME_PERCENT / 100);
     assertThat(spentTokens).isAtMost(TEAMS * PREPAID_TOKENS);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingGrantBoundTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingGrantBoundTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void neverPassesTheLimit() {
+  void neverExceedsTheLimit() {
     assertThat(GRANT.boundAfterMs(3_600_000)).isEqualTo(5_000);
   }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingLatencyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingLatencyTest.java
@@ -21,10 +21,10 @@
 
   private static final long STEP_MS = 37;
 
-  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 5);
+  private final SpendingSimulation simulation = new SpendingSimulation(PREPAID_TOKENS, 5);
 
   private void settle() {
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
   }
 
   // Guards against wanted tokens that are lost when a request joins a renewal that started before
@@ -32,22 +32,22 @@
   @Test
   void requestThatNeedsRenewalIsServedWheneverItComes() {
     // GIVEN
-    List<SpendingSimulation.SimulatedInstance> members =
-        IntStream.range(0, MANY_INSTANCES).mapToObj(n -> world.start("konya-" + n)).toList();
+    List<SpendingSimulation.SimulatedInstance> instances =
+        IntStream.range(0, MANY_INSTANCES).mapToObj(n -> simulation.start("konya-" + n)).toList();
     settle();
     // WHEN
     List<Boolean> served =
-        members.stream().limit(20).map(member -> isServedInTime(member, 100_000)).toList();
+        instances.stream().limit(20).map(instance -> isServedInTime(instance, 100_000)).toList();
     // THEN
     assertThat(served).doesNotContain(false);
   }
 
-  private boolean isServedInTime(SpendingSimulation.SimulatedInstance member, long tokens) {
+  private boolean isServedInTime(SpendingSimulation.SimulatedInstance instance, long tokens) {
     CompletableFuture<SpendingReservation> reserved =
-        member.reserve(SpendingSimulation.TEAM, tokens);
-    world.timers.advanceMs(TARGET_LATENCY_MS);
+        instance.reserve(SpendingSimulation.TEAM, tokens);
+    simulation.timers.advanceMs(TARGET_LATENCY_MS);
     boolean served = reserved.isDone() && !reserved.isCompletedExceptionally();
-    world.timers.advanceMs(2 * TARGET_LATENCY_MS + STEP_MS);
+    simulation.timers.advanceMs(2 * TARGET_LATENCY_MS + STEP_MS);
     return served;
   }
 
@@ -55,11 +55,11 @@
   @Test
   void firstRequestIsServedWhileTheStoreIsYoung() {
     // GIVEN
-    SpendingSimulation.SimulatedInstance member = world.start("konya-1");
+    SpendingSimulation.SimulatedInstance instance = simulation.start("konya-1");
     // WHEN
     CompletableFuture<SpendingReservation> reserved =
-        member.reserve(SpendingSimulation.TEAM, 1_000);
-    world.timers.advanceMs(TARGET_LATENCY_MS);
+        instance.reserve(SpendingSimulation.TEAM, 1_000);
+    simulation.timers.advanceMs(TARGET_LATENCY_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
     assertThat(reserved.isCompletedExceptionally()).isFalse();
@@ -74,11 +74,11 @@
             List.of("first", "second"), List.of(PREPAID_TOKENS, PREPAID_TOKENS), 5);
     ForwardingPlan whole = newcomers.plan.read();
     newcomers.plan.publish(ForwardingPlan.unknown());
-    SpendingSimulation.SimulatedInstance member = newcomers.start("konya-1");
+    SpendingSimulation.SimulatedInstance instance = newcomers.start("konya-1");
     newcomers.timers.advanceMs(TARGET_LATENCY_MS);
     newcomers.plan.publish(whole);
     // WHEN
-    CompletableFuture<SpendingReservation> reserved = member.reserve("second", 1_000);
+    CompletableFuture<SpendingReservation> reserved = instance.reserve("second", 1_000);
     newcomers.timers.advanceMs(TARGET_LATENCY_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
@@ -90,16 +90,18 @@
   @Test
   void requestsOfHundredsOfInstancesDoNotWaitForPacedRenewals() {
     // GIVEN
-    List<SpendingSimulation.SimulatedInstance> members =
-        IntStream.range(0, HUNDREDS_OF_INSTANCES).mapToObj(n -> world.start("konya-" + n)).toList();
+    List<SpendingSimulation.SimulatedInstance> instances =
+        IntStream.range(0, HUNDREDS_OF_INSTANCES)
+            .mapToObj(n -> simulation.start("konya-" + n))
+            .toList();
     settle();
-    SpendingSimulation.SimulatedInstance member = members.get(1);
-    member.tryReserve(PREPAID_TOKENS / 100);
-    world.timers.advanceMs(TARGET_LATENCY_MS);
+    SpendingSimulation.SimulatedInstance instance = instances.get(1);
+    instance.tryReserve(PREPAID_TOKENS / 100);
+    simulation.timers.advanceMs(TARGET_LATENCY_MS);
     // WHEN
     CompletableFuture<SpendingReservation> reserved =
-        member.reserve(SpendingSimulation.TEAM, PREPAID_TOKENS / 10);
-    world.timers.advanceMs(LONGEST_WAIT_MS);
+        instance.reserve(SpendingSimulation.TEAM, PREPAID_TOKENS / 10);
+    simulation.timers.advanceMs(LONGEST_WAIT_MS);
     // THEN
     assertThat(reserved.isDone()).isTrue();
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfHundredTeamsTest.java
@@ -25,23 +25,23 @@
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
-  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 11, teams);
+  private final SpendingSimulation simulation = new SpendingSimulation(PREPAID_TOKENS, 11, teams);
 
   // Guards against requests that wait for the rotation: the holder of each team requests more than
   // its immediate tokens, and must get them with the next row, whichever team it is.
   @Test
   void requestOfAnyTeamGetsTokensFromTheNextRow() {
-    SpendingSimulation.SimulatedInstance first = world.start("konya-1");
-    world.start("kayseri-1");
-    world.timers.advanceMs(SETTLED_MS);
+    SpendingSimulation.SimulatedInstance first = simulation.start("konya-1");
+    simulation.start("kayseri-1");
+    simulation.timers.advanceMs(SETTLED_MS);
 
     for (String team : teams) {
       CompletableFuture<SpendingReservation> reserved = first.reserve(team, REQUEST_TOKENS);
-      world.timers.advanceMs(SOON_MS);
+      simulation.timers.advanceMs(SOON_MS);
 
       assertWithMessage(team).that(reserved.isDone()).isTrue();
       assertWithMessage(team).that(reserved.isCompletedExceptionally()).isFalse();
-      world.timers.advanceMs(SOON_MS);
+      simulation.timers.advanceMs(SOON_MS);
     }
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfLongPromptsTest.java
@@ -38,11 +38,11 @@
   private static final long START_SPREAD_MS = 300;
   private static final long BEFORE_TRAFFIC_MS = 18_000;
   private static final long SETTLED_S = 6;
-  private static final long CUT_S = 7;
+  private static final long OUTAGE_S = 7;
   private static final long CALM_S = 8;
-  private static final long RETURN_S = 3;
+  private static final long RECOVERY_S = 3;
   private static final long HOT_S = 6;
-  private static final long OUTAGE_MS = 800;
+  private static final long POWER_LOSS_MS = 800;
 
   /** Time after which no requests are in flight any longer. */
   private static final long LONGEST_STREAM_MS = 4_000;
@@ -86,7 +86,7 @@
   private static final UnevenTeams UNEVEN = new UnevenTeams(TEAMS);
 
   private final List<String> teams = UNEVEN.names();
-  private SpendingSimulation world = new SpendingSimulation(teams, budgets(BUDGET_S), SEED);
+  private SpendingSimulation simulation = new SpendingSimulation(teams, budgets(BUDGET_S), SEED);
   private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private long spentTokens;
   private int asked;
@@ -103,18 +103,19 @@
   }
 
   private void startAll() {
-    world.serializeWrites(WRITE_MS);
+    simulation.serializeWrites(WRITE_MS);
     instances.clear();
     int all = DOMAINS * INSTANCES_PER_DOMAIN;
     for (int number = 0; number < all; number++) {
-      world.timers.advanceMs(START_SPREAD_MS * (number + 1) / all - START_SPREAD_MS * number / all);
-      instances.add(world.start("domain" + number % DOMAINS + "-" + number / DOMAINS));
+      simulation.timers.advanceMs(
+          START_SPREAD_MS * (number + 1) / all - START_SPREAD_MS * number / all);
+      instances.add(simulation.start("domain" + number % DOMAINS + "-" + number / DOMAINS));
     }
   }
 
   /** Draws an instance; those of the first domain are drawn more often. */
   private SpendingSimulation.SimulatedInstance drawInstance() {
-    int drawn = world.random.nextInt(BUSY + DOMAINS - 1);
+    int drawn = simulation.random.nextInt(BUSY + DOMAINS - 1);
     int domain = Math.max(0, drawn - BUSY + 1);
     return instanceIn(domain);
   }
@@ -124,23 +125,26 @@
   }
 
   private SpendingSimulation.SimulatedInstance instanceIn(int domain) {
-    return instances.get(domain + DOMAINS * world.random.nextInt(INSTANCES_PER_DOMAIN));
+    return instances.get(domain + DOMAINS * simulation.random.nextInt(INSTANCES_PER_DOMAIN));
   }
 
-  private void ask() {
-    Kind kind = UnevenTeams.drawKind(world.random, KINDS, Kind::perS);
-    long tokens = kind.draw(world.random);
+  private void sendRequest() {
+    Kind kind = UnevenTeams.drawKind(simulation.random, KINDS, Kind::perS);
+    long tokens = kind.draw(simulation.random);
     boolean isLong = kind == KINDS.get(0);
-    long askedMs = world.timers.nowMs();
+    long sentMs = simulation.timers.nowMs();
     asked++;
     askedLong += isLong ? 1 : 0;
-    int team = hot && world.random.nextInt(10) < HOT_OF_TEN ? HOT_TEAM : UNEVEN.draw(world.random);
-    SpendingSimulation.SimulatedInstance member =
-        atHome && world.random.nextInt(10) < AT_HOME_OF_TEN
+    int team =
+        hot && simulation.random.nextInt(10) < HOT_OF_TEN
+            ? HOT_TEAM
+            : UNEVEN.draw(simulation.random);
+    SpendingSimulation.SimulatedInstance instance =
+        atHome && simulation.random.nextInt(10) < AT_HOME_OF_TEN
             ? instanceIn(homeOf(team))
             : drawInstance();
     var unused =
-        member
+        instance
             .reserve(teams.get(team), tokens)
             .whenComplete(
                 (reservation, error) -> {
@@ -148,21 +152,21 @@
                     refused++;
                     return;
                   }
-                  boolean soon = world.timers.nowMs() - askedMs <= kind.inTimeMs();
+                  boolean soon = simulation.timers.nowMs() - sentMs <= kind.inTimeMs();
                   inTime += soon ? 1 : 0;
                   inTimeLong += soon && isLong ? 1 : 0;
                   long used = Math.round(tokens * kind.usedShare());
-                  spentTokens += member.dead ? 0 : used;
-                  member.after(kind.tookMs(), () -> reservation.settle(used));
+                  spentTokens += instance.killed ? 0 : used;
+                  instance.after(kind.tookMs(), () -> reservation.settle(used));
                 });
   }
 
-  private void serve(double seconds) {
+  private void sendRequests(double seconds) {
     double due = 0;
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
-      world.timers.advanceMs(1);
+      simulation.timers.advanceMs(1);
       for (due += (double) REQUESTS_PER_S / MS_PER_S; due >= 1; due--) {
-        ask();
+        sendRequest();
       }
     }
   }
@@ -177,8 +181,8 @@
 
   private void settle() {
     startAll();
-    world.timers.advanceMs(BEFORE_TRAFFIC_MS);
-    serve(SETTLED_S);
+    simulation.timers.advanceMs(BEFORE_TRAFFIC_MS);
+    sendRequests(SETTLED_S);
     resetCounts();
   }
 
@@ -198,7 +202,7 @@
   void longPromptsDoNotWaitForTheTable() {
     settle();
 
-    serve(CALM_S);
+    sendRequests(CALM_S);
 
     assertThat(longInTimePercent()).isAtLeast(95);
     assertThat(inTimePercent()).isAtLeast(97);
@@ -209,18 +213,18 @@
   // share, while the holders of the other domains hold many tokens but few immediate ones. 16 of
   // 1,620 requests are refused, and 51 if lenders do not react to a shortage.
   @Test
-  void hotTeamInOneDomainFindsWhatTheOthersHold() {
-    world = new SpendingSimulation(teams, budgets(SHORT_BUDGET_S), SEED);
+  void hotTeamInOneDomainUsesTokensOfOtherDomains() {
+    simulation = new SpendingSimulation(teams, budgets(SHORT_BUDGET_S), SEED);
     atHome = true;
     settle();
-    instances.forEach(member -> member.cutFromTable = true);
-    serve(CUT_S);
-    instances.forEach(member -> member.cutFromTable = false);
-    serve(RETURN_S);
+    instances.forEach(instance -> instance.tableUnreachable = true);
+    sendRequests(OUTAGE_S);
+    instances.forEach(instance -> instance.tableUnreachable = false);
+    sendRequests(RECOVERY_S);
     hot = true;
     resetCounts();
 
-    serve(HOT_S);
+    sendRequests(HOT_S);
 
     assertThat(inTimePercent()).isAtLeast(90);
     assertThat(refused).isAtMost(asked * 2 / 100);
@@ -229,11 +233,11 @@
   // All instances lose the store at the same moment. In the first seconds only the immediate tokens
   // of the holders are available.
   @Test
-  void mostCallersAreServedInTimeThroughCutOfAllInstances() {
+  void mostCallersAreServedInTimeDuringStoreOutage() {
     settle();
-    instances.forEach(member -> member.cutFromTable = true);
+    instances.forEach(instance -> instance.tableUnreachable = true);
 
-    serve(CUT_S);
+    sendRequests(OUTAGE_S);
 
     assertThat(inTimePercent()).isAtLeast(95);
     assertThat(longInTimePercent()).isAtLeast(92);
@@ -243,14 +247,14 @@
   // All instances reach the store again at the same moment, and all their rows are due for renewal.
   // Requests in that second are served as before.
   @Test
-  void returnOfTheStoreDelaysNobody() {
+  void requestsAreNotDelayedWhenTheStoreRecovers() {
     settle();
-    instances.forEach(member -> member.cutFromTable = true);
-    serve(CUT_S);
-    instances.forEach(member -> member.cutFromTable = false);
+    instances.forEach(instance -> instance.tableUnreachable = true);
+    sendRequests(OUTAGE_S);
+    instances.forEach(instance -> instance.tableUnreachable = false);
     resetCounts();
 
-    serve(RETURN_S);
+    sendRequests(RECOVERY_S);
 
     assertThat(longInTimePercent()).isAtLeast(95);
     assertThat(refused).isAtMost(asked / 100);
@@ -261,12 +265,12 @@
   @Test
   void powerLossOfAllInstancesCostsFewTokens() {
     settle();
-    serve(CALM_S);
-    world.timers.advanceMs(LONGEST_STREAM_MS);
+    sendRequests(CALM_S);
+    simulation.timers.advanceMs(LONGEST_STREAM_MS);
     instances.forEach(SpendingSimulation.SimulatedInstance::kill);
-    world.timers.advanceMs(OUTAGE_MS);
+    simulation.timers.advanceMs(POWER_LOSS_MS);
     startAll();
-    world.timers.advanceMs(MS_PER_S);
+    simulation.timers.advanceMs(MS_PER_S);
 
     long lostTokens = countedTokens() - spentTokens;
     assertThat(lostTokens).isAtLeast(0);
@@ -278,12 +282,12 @@
   }
 
   private long countedTokens() {
-    SpendingTable.Snapshot contents = contents();
-    return teams.stream().mapToLong(contents::spentTokens).sum();
+    SpendingTable.Snapshot snapshot = tableSnapshot();
+    return teams.stream().mapToLong(snapshot::spentTokens).sum();
   }
 
-  private SpendingTable.Snapshot contents() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+  private SpendingTable.Snapshot tableSnapshot() {
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
     return SpendingTable.Snapshot.of(rows, 0);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyInstancesTest.java
@@ -30,41 +30,41 @@
   /** Slightly more than an instance holds, which is 92% of an equal share of a million tokens. */
   private static final long LARGE_TOKENS = 1_000_000;
 
-  private final SpendingSimulation world = new SpendingSimulation(70_000_000, 11);
+  private final SpendingSimulation simulation = new SpendingSimulation(70_000_000, 11);
 
   private List<SpendingSimulation.SimulatedInstance> startAll() {
-    List<SpendingSimulation.SimulatedInstance> members =
+    List<SpendingSimulation.SimulatedInstance> instances =
         IntStream.range(0, INSTANCES)
             .mapToObj(
                 number -> {
-                  world.timers.advanceMs(START_SPREAD_MS / INSTANCES);
-                  return world.start("konya-" + number);
+                  simulation.timers.advanceMs(START_SPREAD_MS / INSTANCES);
+                  return simulation.start("konya-" + number);
                 })
             .toList();
-    world.timers.advanceMs(SETTLED_MS);
-    return members;
+    simulation.timers.advanceMs(SETTLED_MS);
+    return instances;
   }
 
   /** Reserves a thousand tokens per second at each instance, at different times. */
-  private void spendOneSecond(List<SpendingSimulation.SimulatedInstance> members) {
-    for (SpendingSimulation.SimulatedInstance member : members) {
-      world.timers.advanceMs(1_000 / INSTANCES);
-      member.tryReserve(TOKENS);
+  private void spendOneSecond(List<SpendingSimulation.SimulatedInstance> instances) {
+    for (SpendingSimulation.SimulatedInstance instance : instances) {
+      simulation.timers.advanceMs(1_000 / INSTANCES);
+      instance.tryReserve(TOKENS);
     }
   }
 
   // Guards against full reads with each renewal: they would read 70 rows each and use most of the
   // network capacity of small instances.
   @Test
-  void renewalReadsFewRowsOfOthers() {
-    List<SpendingSimulation.SimulatedInstance> members = startAll();
-    long before = world.rowsRead();
+  void renewalReadsFewPeerRows() {
+    List<SpendingSimulation.SimulatedInstance> instances = startAll();
+    long before = simulation.rowsRead();
 
     for (int second = 0; second < MEASURED_S; second++) {
-      spendOneSecond(members);
+      spendOneSecond(instances);
     }
 
-    long rowsPerInstanceAndSecond = (world.rowsRead() - before) / (INSTANCES * MEASURED_S);
+    long rowsPerInstanceAndSecond = (simulation.rowsRead() - before) / (INSTANCES * MEASURED_S);
     assertThat(rowsPerInstanceAndSecond).isAtMost(15);
   }
 
@@ -72,45 +72,45 @@
   // spent. If all of them changed the team's row each second, most of their writes would conflict.
   @Test
   void fewWritesMeetConflicts() {
-    List<SpendingSimulation.SimulatedInstance> members = startAll();
-    long writesBefore = world.writeCount();
-    long conflictsBefore = world.conflictCount();
+    List<SpendingSimulation.SimulatedInstance> instances = startAll();
+    long writesBefore = simulation.writeCount();
+    long conflictsBefore = simulation.conflictCount();
 
     for (int second = 0; second < MEASURED_S; second++) {
-      spendOneSecond(members);
+      spendOneSecond(instances);
     }
 
-    long writes = world.writeCount() - writesBefore;
-    long conflicts = world.conflictCount() - conflictsBefore;
+    long writes = simulation.writeCount() - writesBefore;
+    long conflicts = simulation.conflictCount() - conflictsBefore;
     assertThat(conflicts).isAtMost(writes / 5);
   }
 
   // Guards against requests that wait for a rebalancing, which each instance does once in six
   // seconds: a request needs more than its instance holds, and the table has enough.
   @Test
-  void requestLargerThanTheHoldingIsServedAtOnce() {
-    List<SpendingSimulation.SimulatedInstance> members = startAll();
-    long before = world.spentTokens();
+  void requestLargerThanTheHeldTokensIsServedImmediately() {
+    List<SpendingSimulation.SimulatedInstance> instances = startAll();
+    long before = simulation.spentTokens();
 
-    for (SpendingSimulation.SimulatedInstance member : members.subList(0, LARGE_REQUESTS)) {
-      member.tryReserve(LARGE_TOKENS);
-      world.timers.advanceMs(300);
+    for (SpendingSimulation.SimulatedInstance instance : instances.subList(0, LARGE_REQUESTS)) {
+      instance.tryReserve(LARGE_TOKENS);
+      simulation.timers.advanceMs(300);
     }
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.spentTokens()).isEqualTo(before + LARGE_REQUESTS * LARGE_TOKENS);
+    assertThat(simulation.spentTokens()).isEqualTo(before + LARGE_REQUESTS * LARGE_TOKENS);
   }
 
   @Test
   void everyInstanceIsServed() {
-    List<SpendingSimulation.SimulatedInstance> members = startAll();
+    List<SpendingSimulation.SimulatedInstance> instances = startAll();
 
     for (int second = 0; second < MEASURED_S; second++) {
-      spendOneSecond(members);
+      spendOneSecond(instances);
     }
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.spentTokens()).isAtLeast(INSTANCES * MEASURED_S * TOKENS * 98 / 100);
-    assertThat(world.spentTokens()).isAtMost(world.prepaidTokens());
+    assertThat(simulation.spentTokens()).isAtLeast(INSTANCES * MEASURED_S * TOKENS * 98 / 100);
+    assertThat(simulation.spentTokens()).isAtMost(simulation.prepaidTokens());
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingOfManyTeamsTest.java
@@ -42,7 +42,7 @@
   private static final long PREPAID_TOKENS =
       3L * (SETTLED_S + MEASURED_S) * REQUESTS_PER_S * (LEAST_TOKENS + MORE_TOKENS / 2) / TEAMS / 2;
 
-  private final SpendingSimulation world =
+  private final SpendingSimulation simulation =
       new SpendingSimulation(
           PREPAID_TOKENS,
           7,
@@ -53,36 +53,37 @@
   private int refused;
 
   private void startAll() {
-    world.serializeWrites(WRITE_MS);
+    simulation.serializeWrites(WRITE_MS);
     for (int number = 0; number < INSTANCES; number++) {
-      world.timers.advanceMs(START_SPREAD_MS / INSTANCES);
-      instances.add(world.start("konya-" + number));
+      simulation.timers.advanceMs(START_SPREAD_MS / INSTANCES);
+      instances.add(simulation.start("konya-" + number));
     }
-    world.timers.advanceMs(SPREAD_OUT_MS);
+    simulation.timers.advanceMs(SPREAD_OUT_MS);
   }
 
-  private void ask() {
-    String team = "team-" + world.random.nextInt(TEAMS);
-    long tokens = LEAST_TOKENS + world.random.nextInt(MORE_TOKENS);
-    long askedMs = world.timers.nowMs();
+  private void sendRequest() {
+    String team = "team-" + simulation.random.nextInt(TEAMS);
+    long tokens = LEAST_TOKENS + simulation.random.nextInt(MORE_TOKENS);
+    long sentMs = simulation.timers.nowMs();
     asked++;
     var unused =
         instances
-            .get(world.random.nextInt(INSTANCES))
+            .get(simulation.random.nextInt(INSTANCES))
             .reserve(team, tokens)
             .whenComplete(
                 (reservation, error) -> {
                   refused += error == null ? 0 : 1;
-                  soon += error == null && world.timers.nowMs() - askedMs <= LONG_WAIT_MS ? 1 : 0;
+                  soon +=
+                      error == null && simulation.timers.nowMs() - sentMs <= LONG_WAIT_MS ? 1 : 0;
                 });
   }
 
-  private void serve(long seconds) {
+  private void sendRequests(long seconds) {
     double due = 0;
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
-      world.timers.advanceMs(1);
+      simulation.timers.advanceMs(1);
       for (due += (double) REQUESTS_PER_S / MS_PER_S; due >= 1; due--) {
-        ask();
+        sendRequest();
       }
     }
   }
@@ -90,11 +91,11 @@
   @BeforeAll
   void measure() {
     startAll();
-    serve(SETTLED_S);
+    sendRequests(SETTLED_S);
     asked = 0;
     soon = 0;
     refused = 0;
-    serve(MEASURED_S);
+    sendRequests(MEASURED_S);
   }
 
   // Guards against overloading the table with conflicts: requests of uneven size reach instances
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingPropertyTest.java
@@ -27,7 +27,7 @@
   // Requests are served at all instances while these are partitioned from the table or from each
   // other, lose answers, have writes that take effect seconds later, crash and restart.
   @Property(tries = 300, seed = "20001")
-  void spendingNeverPassesTheBudget(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+  void spendingNeverExceedsTheBudget(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
     spend(FEW, STEPS, seed);
   }
 
@@ -40,42 +40,42 @@
 
   private static void spend(List<String> ids, int steps, long seed) {
     Random choices = new Random(seed);
-    SpendingSimulation world = new SpendingSimulation(TOKENS_EACH * ids.size(), seed);
-    ids.forEach(world::start);
-    world.timers.advanceMs(3_000);
+    SpendingSimulation simulation = new SpendingSimulation(TOKENS_EACH * ids.size(), seed);
+    ids.forEach(simulation::start);
+    simulation.timers.advanceMs(3_000);
     for (int step = 0; step < steps; step++) {
-      act(world, ids.get(choices.nextInt(ids.size())), choices);
+      act(simulation, ids.get(choices.nextInt(ids.size())), choices);
       assertWithMessage("seed %s, step %s", seed, step)
-          .that(world.spentTokens())
-          .isAtMost(world.prepaidTokens());
+          .that(simulation.spentTokens())
+          .isAtMost(simulation.prepaidTokens());
     }
   }
 
-  private static void act(SpendingSimulation world, String id, Random choices) {
-    SpendingSimulation.SimulatedInstance member = world.member(id);
+  private static void act(SpendingSimulation simulation, String id, Random choices) {
+    SpendingSimulation.SimulatedInstance instance = simulation.instance(id);
     switch (choices.nextInt(20)) {
-      case 0 -> member.cutFromTable = !member.cutFromTable;
-      case 1 -> member.cutFromPeers = !member.cutFromPeers;
-      case 2 -> member.answersLost = !member.answersLost;
-      case 3 -> member.writesLate = !member.writesLate;
-      case 4 -> restart(world, id, choices);
-      case 5 -> world.timers.advanceMs(choices.nextInt(8_000));
-      case 6 -> topUpSeldom(world, choices);
-      case 7, 8, 9 -> member.settleOne(choices.nextInt(LARGEST_TOKENS));
-      case 10, 11, 12 -> world.timers.advanceMs(choices.nextInt(400));
-      default -> member.tryReserve(1 + choices.nextInt(LARGEST_TOKENS));
+      case 0 -> instance.tableUnreachable = !instance.tableUnreachable;
+      case 1 -> instance.peersUnreachable = !instance.peersUnreachable;
+      case 2 -> instance.answersLost = !instance.answersLost;
+      case 3 -> instance.writesDelayed = !instance.writesDelayed;
+      case 4 -> restart(simulation, id, choices);
+      case 5 -> simulation.timers.advanceMs(choices.nextInt(8_000));
+      case 6 -> topUpSeldom(simulation, choices);
+      case 7, 8, 9 -> instance.settleOne(choices.nextInt(LARGEST_TOKENS));
+      case 10, 11, 12 -> simulation.timers.advanceMs(choices.nextInt(400));
+      default -> instance.tryReserve(1 + choices.nextInt(LARGEST_TOKENS));
     }
   }
 
-  private static void restart(SpendingSimulation world, String id, Random choices) {
-    world.member(id).kill();
-    world.timers.advanceMs(choices.nextInt(2_500));
-    world.start(id);
+  private static void restart(SpendingSimulation simulation, String id, Random choices) {
+    simulation.instance(id).kill();
+    simulation.timers.advanceMs(choices.nextInt(2_500));
+    simulation.start(id);
   }
 
-  private static void topUpSeldom(SpendingSimulation world, Random choices) {
+  private static void topUpSeldom(SpendingSimulation simulation, Random choices) {
     if (choices.nextInt(10) == 0) {
-      world.topUp(20_000);
+      simulation.topUp(20_000);
     }
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingShortageTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingShortageTest.java
@@ -9,41 +9,41 @@
   private static final long PREPAID_TOKENS = 100_000;
   private static final long SETTLED_MS = 3_000;
 
-  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 3);
-  private final SpendingSimulation.SimulatedInstance member = world.start("konya-1");
+  private final SpendingSimulation simulation = new SpendingSimulation(PREPAID_TOKENS, 3);
+  private final SpendingSimulation.SimulatedInstance instance = simulation.start("konya-1");
 
   @Test
-  void refusalSaysWhereTheTokensOfTheTeamAre() {
+  void refusalReportsWhereTheTokensAre() {
     // GIVEN
-    SpendingSimulation.SimulatedInstance other = world.start("kayseri-1");
-    world.timers.advanceMs(SETTLED_MS);
+    SpendingSimulation.SimulatedInstance other = simulation.start("kayseri-1");
+    simulation.timers.advanceMs(SETTLED_MS);
     other.tryReserve(PREPAID_TOKENS / 2);
-    world.timers.advanceMs(SETTLED_MS);
-    other.cutFromPeers = true;
-    member.cutFromTable = true;
+    simulation.timers.advanceMs(SETTLED_MS);
+    other.peersUnreachable = true;
+    instance.tableUnreachable = true;
     // WHEN
-    member.tryReserve(PREPAID_TOKENS * 45 / 100);
-    world.timers.advanceMs(SETTLED_MS);
+    instance.tryReserve(PREPAID_TOKENS * 45 / 100);
+    simulation.timers.advanceMs(SETTLED_MS);
     // THEN
-    assertThat(member.lastRefusal).contains("unassigned");
-    assertThat(member.lastRefusal).contains("others hold");
-    assertThat(member.spending.refusedCount()).isEqualTo(1);
+    assertThat(instance.lastRefusal).contains("unassigned");
+    assertThat(instance.lastRefusal).contains("others hold");
+    assertThat(instance.spending.refusedCount()).isEqualTo(1);
   }
 
   @Test
-  void refusalThatTheTableCouldHavePaidForIsCounted() {
+  void refusalCoveredByUnassignedTokensIsCounted() {
     // GIVEN
-    world.timers.advanceMs(SETTLED_MS);
-    world.topUp(PREPAID_TOKENS);
-    member.cutFromTable = true;
-    world.timers.advanceMs(SETTLED_MS);
+    simulation.timers.advanceMs(SETTLED_MS);
+    simulation.topUp(PREPAID_TOKENS);
+    instance.tableUnreachable = true;
+    simulation.timers.advanceMs(SETTLED_MS);
     // WHEN
-    member.tryReserve(PREPAID_TOKENS);
-    member.tryReserve(PREPAID_TOKENS);
-    world.timers.advanceMs(SETTLED_MS);
+    instance.tryReserve(PREPAID_TOKENS);
+    instance.tryReserve(PREPAID_TOKENS);
+    simulation.timers.advanceMs(SETTLED_MS);
     // THEN
-    assertThat(member.spending.refusedThoughUnassignedCount())
-        .isEqualTo(member.spending.refusedCount());
-    assertThat(member.spending.refusedCount()).isAtLeast(1);
+    assertThat(instance.spending.refusedThoughUnassignedCount())
+        .isEqualTo(instance.spending.refusedCount());
+    assertThat(instance.spending.refusedCount()).isAtLeast(1);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -149,12 +149,12 @@
   }
 
   SimulatedInstance start(String id) {
-    SimulatedInstance member = new SimulatedInstance(id);
-    instances.put(id, member);
-    return member;
+    SimulatedInstance instance = new SimulatedInstance(id);
+    instances.put(id, instance);
+    return instance;
   }
 
-  SimulatedInstance member(String id) {
+  SimulatedInstance instance(String id) {
     return instances.get(id);
   }
 
@@ -166,17 +166,17 @@
   /** One process of an instance. */
   final class SimulatedInstance implements Timers {
     private final String id;
-    private final List<Held> held = new ArrayList<>();
+    private final List<HeldReservation> held = new ArrayList<>();
     private final PeerDispatcher dispatcher = new PeerDispatcher();
     final SpendingController spending;
-    boolean dead;
-    boolean cutFromTable;
-    boolean cutFromPeers;
+    boolean killed;
+    boolean tableUnreachable;
+    boolean peersUnreachable;
     boolean answersLost;
-    boolean writesLate;
+    boolean writesDelayed;
     String lastRefusal = "";
 
-    private record Held(SpendingReservation reservation, long tokens) {}
+    private record HeldReservation(SpendingReservation reservation, long tokens) {}
 
     SimulatedInstance(String id) {
       this.id = id;
@@ -207,10 +207,10 @@
               (reservation, error) -> {
                 if (error != null) {
                   lastRefusal = String.valueOf(error.getMessage());
-                } else if (!dead) {
+                } else if (!killed) {
                   granted[0] = true;
                   spentTokens += tokens;
-                  held.add(new Held(reservation, tokens));
+                  held.add(new HeldReservation(reservation, tokens));
                 }
               });
       return granted[0];
@@ -221,8 +221,8 @@
     }
 
     void settleOne(long usedTokens) {
-      if (!held.isEmpty() && !dead) {
-        Held first = held.remove(0);
+      if (!held.isEmpty() && !killed) {
+        HeldReservation first = held.remove(0);
         long used = Math.min(usedTokens, first.tokens());
         first.reservation().settle(used);
         spentTokens -= first.tokens() - used;
@@ -230,7 +230,7 @@
     }
 
     void kill() {
-      dead = true;
+      killed = true;
     }
 
     private CompletableFuture<PeerMessage> ask(
@@ -240,13 +240,13 @@
           timeoutMs,
           () -> reply.completeExceptionally(PeerException.noReply(peer.id(), "timeout")));
       SimulatedInstance to = instances.get(peer.id());
-      if (cutFromPeers || to == null || to.cutFromPeers) {
+      if (peersUnreachable || to == null || to.peersUnreachable) {
         return reply;
       }
       timers.after(
           peerDelayMs,
           () -> {
-            if (!to.dead) {
+            if (!to.killed) {
               to.dispatcher
                   .dispatch(request)
                   .thenAccept(
@@ -272,16 +272,16 @@
 
     @Override
     public Subscription after(long delayMs, Runnable task) {
-      return timers.after(delayMs, () -> runIfAlive(task));
+      return timers.after(delayMs, () -> runUnlessKilled(task));
     }
 
     @Override
     public Subscription every(long periodMs, Runnable task) {
-      return timers.every(periodMs, () -> runIfAlive(task));
+      return timers.every(periodMs, () -> runUnlessKilled(task));
     }
 
-    private void runIfAlive(Runnable task) {
-      if (!dead) {
+    private void runUnlessKilled(Runnable task) {
+      if (!killed) {
         task.run();
       }
     }
@@ -302,12 +302,12 @@
 
   /** One process's access to the table, with the faults of that process. */
   private final class FaultyTable implements TableService {
-    private static final long MAX_LATE_MS = 5_000;
+    private static final long MAX_DELAY_MS = 5_000;
 
-    private final SimulatedInstance member;
+    private final SimulatedInstance instance;
 
-    FaultyTable(SimulatedInstance member) {
-      this.member = member;
+    FaultyTable(SimulatedInstance instance) {
+      this.instance = instance;
     }
 
     @Override
@@ -323,32 +323,32 @@
 
     @Override
     public CompletableFuture<Boolean> write(Transaction transaction) {
-      long lateMs = member.writesLate ? random.nextLong(MAX_LATE_MS) : 0;
-      return call(lateMs, writtenInMs(), () -> count(table.write(transaction).join()));
+      long delayMs = instance.writesDelayed ? random.nextLong(MAX_DELAY_MS) : 0;
+      return call(delayMs, writtenInMs(), () -> count(table.write(transaction).join()));
     }
 
     /**
      * Applies an effect; a late one is applied even if its sender has crashed by then, and is not
      * answered.
      */
-    private <T> CompletableFuture<T> call(long lateMs, long takesMs, Supplier<T> effect) {
+    private <T> CompletableFuture<T> call(long delayMs, long takesMs, Supplier<T> effect) {
       CompletableFuture<T> answer = new CompletableFuture<>();
-      if (member.cutFromTable) {
-        member.after(
+      if (instance.tableUnreachable) {
+        instance.after(
             500, () -> answer.completeExceptionally(PlatformException.unreachable("table")));
         return answer;
       }
-      boolean lost = member.answersLost || lateMs > 0;
+      boolean lost = instance.answersLost || delayMs > 0;
       timers.after(
-          1 + lateMs + takesMs,
+          1 + delayMs + takesMs,
           () -> {
             T value = effect.get();
             if (!lost) {
-              member.after(ANSWER_MS, () -> answer.complete(value));
+              instance.after(ANSWER_MS, () -> answer.complete(value));
             }
           });
       if (lost) {
-        member.after(
+        instance.after(
             1_000, () -> answer.completeExceptionally(PlatformException.answerLost("table")));
       }
       return answer;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/TeamSpendingTest.java
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void takesBackWhatWasNotUsed() {
+  void returnsUnusedTokens() {
     spending.confirm(propose(1_000, 300, 0));
     assertThat(spending.tryReserve(300)).isTrue();
 
@@ -45,7 +45,7 @@
   // and the answer is lost, so the table may hold either row. A reader after a crash relies on the
   // row in the table, so the instance must stay below both until it knows the result.
   @Test
-  void staysBelowBothRowsWhileAnAnswerIsMissing() {
+  void staysBelowBothRowsWhileTheRenewalIsUnconfirmed() {
     spending.confirm(propose(1_000, 900, 0));
 
     TeamSpending.SentGrant unknown = propose(1_000, 50, 0);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void lendsLessThanIsNeededWhenThatIsGoodPartOfIt() {
+  void lendsPartOfTheNeededTokensWhenItIsLargeEnough() {
     spending.confirm(propose(1_000, 40, 0));
 
     assertThat(spending.lend(50, 300, 2)).isEqualTo(40);
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void lendsNothingRatherThanTooLittle() {
+  void lendsNothingWhenTokensAreTooFew() {
     spending.confirm(propose(1_000, 11, 0));
 
     assertThat(spending.lend(50, 300, 2)).isEqualTo(0);
