--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/TeamTokens.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * Where one team's tokens are by the rows that an instance has read.
+ * Where one team's tokens are, according to the rows that an instance has read.
  *
- * @param prepaidTokens all that the team may ever spend
- * @param unassignedTokens what no instance's limit covers; negative while too much is granted
- * @param peersHeldTokens what other instances' rows hold beyond what they have spent
- * @param peersImmediateTokens the part of it that was near when these rows were sent
- * @param rowsAgeMs how old the rows of the others are
+ * @param prepaidTokens all tokens that the team may ever spend
+ * @param unassignedTokens the tokens granted to no instance; negative while too many are granted
+ * @param peersHeldTokens the tokens that peers hold: granted to them and not spent
+ * @param peersImmediateTokens the part of them that was immediate when the rows were sent
+ * @param rowsAgeMs the age of the peers' rows
  */
 record TeamTokens(
     long prepaidTokens,
@@ -21,19 +21,19 @@
     long rowsAgeMs) {
 
   static TeamTokens of(
-      SpendingTable.Snapshot contents, RowKey ownKey, TeamPlan team, long nowStoreMs) {
+      SpendingTable.Snapshot snapshot, RowKey ownKey, TeamPlan team, long nowStoreMs) {
     long prepaidTokens = team.prepaidTokens().orElse(0);
-    List<SpendingGrant> others =
-        contents.peers(ownKey).map(row -> row.grantOf(team.name())).toList();
+    List<SpendingGrant> peerGrants =
+        snapshot.peers(ownKey).map(row -> row.grantOf(team.name())).toList();
     return new TeamTokens(
         prepaidTokens,
-        contents.unassignedTokens(team.name(), prepaidTokens),
-        others.stream().mapToLong(SpendingGrant::heldTokens).sum(),
-        others.stream().mapToLong(SpendingGrant::immediateTokens).sum(),
-        nowStoreMs - contents.fullReadAtStoreMs());
+        snapshot.unassignedTokens(team.name(), prepaidTokens),
+        peerGrants.stream().mapToLong(SpendingGrant::heldTokens).sum(),
+        peerGrants.stream().mapToLong(SpendingGrant::immediateTokens).sum(),
+        nowStoreMs - snapshot.fullReadAtStoreMs());
   }
 
-  /** Says whether the table alone could have paid for a request. */
+  /** Checks whether the unassigned tokens alone would have covered a request. */
   boolean isCoveredByUnassigned(long tokens) {
     return unassignedTokens >= tokens;
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/DemandSharePolicyTest.java
@@ -18,15 +18,16 @@
             LEFT_TOKENS, ownTokensPerS, allTokensPerS, INSTANCES, TYPICAL_TOKENS));
   }
 
-  // Seventy instances together get seven requests a second. The one that was not asked lately gets
-  // the next request as likely as any other, and must hold enough for several.
+  // Guards against refusals when requests are rare: of seventy instances with seven requests per
+  // second in total, one without recent requests is as likely as any other to receive the next
+  // request, and must hold enough for several.
   @Test
   void instanceWithoutDemandHoldsSeveralRequestsWhenRequestsAreRare() {
     assertThat(holding(0, 7 * TYPICAL_TOKENS)).isAtLeast(10 * TYPICAL_TOKENS);
   }
 
   @Test
-  void sharesFollowDemandWhenManyRequestsTellIt() {
+  void sharesFollowDemandWhenRequestsAreFrequent() {
     long perInstance = 10 * TYPICAL_TOKENS;
     long busy = holding(2 * perInstance, INSTANCES * perInstance);
     long quiet = holding(0, INSTANCES * perInstance);
@@ -35,13 +36,13 @@
   }
 
   @Test
-  void allSharesTogetherLeaveSomethingInTheTable() {
+  void sharesLeaveUnassignedTokensInTheTable() {
     long equal = holding(TYPICAL_TOKENS, INSTANCES * TYPICAL_TOKENS);
 
     assertThat(INSTANCES * equal).isLessThan(LEFT_TOKENS);
   }
 
-  // A share would be less than one request. Held in pieces it would serve nobody.
+  // Guards against splitting the last tokens into shares that are smaller than one request.
   @Test
   void holdsNothingWhenTheSharesAreSmallerThanOneRequest() {
     long holding =
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/FleetLoad.java
@@ -12,7 +12,8 @@
 /**
  * Seventy-nine instances in four failure domains, with the callers of two dozen teams.
  *
- * <p>All callers of two of the teams come to one instance each, those of the others to any.
+ * <p>All callers of two of the teams use one instance each; those of the other teams use any
+ * instance.
  */
 final class FleetLoad {
 
@@ -24,24 +25,29 @@
   private static final long MS_PER_S = 1_000;
   private static final long WRITE_MS = 5;
 
-  /** A message that two busy instances handle beside their requests. */
+  /** Delay of a message between two instances that are busy with requests. */
   private static final long PEER_MS = 6;
 
   private static final long START_SPREAD_MS = 300;
   private static final long BEFORE_TRAFFIC_MS = 18_000;
 
-  /** Teams whose callers all come to one instance, and that instance. */
+  /** Teams whose callers all use one instance, and that instance. */
   private static final int[][] PINNED_TEAMS = {{1, 20}, {5, 70}};
 
-  /** The engine reads the prompt in the other half of the time that callers hope for. */
+  /** The engine's prefill takes the other half of the target latency. */
   private static final int TARGET_LATENCY_DIVISOR = 2;
 
-  /** A request is owed if it fits into so much of the budget at its most. */
+  /** A request must be served if at most this share of the budget is used with it. */
   private static final double ENTITLED_SHARE = 0.97;
 
-  /** One kind of request, with the logarithm of sizes spread normally. */
+  /** One kind of request, with log-normally distributed sizes. */
   private record Kind(
-      int perS, double medianTokens, double spread, long aimMs, long tookMs, double usedShare) {
+      int perS,
+      double medianTokens,
+      double spread,
+      long targetLatencyMs,
+      long tookMs,
+      double usedShare) {
 
     long draw(Random random) {
       return Math.round(medianTokens * Math.exp(spread * random.nextGaussian()));
@@ -60,7 +66,7 @@
 
   private static final UnevenTeams UNEVEN = new UnevenTeams(TEAMS);
 
-  final SpendingSimulation world;
+  final SpendingSimulation simulation;
   private final List<String> teams = UNEVEN.names();
   private final List<Long> budgets;
   private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
@@ -68,37 +74,37 @@
   private final long[] reservedTokens = new long[TEAMS];
   private final List<Request> requests = new ArrayList<>();
   private double dueRequests;
-  private boolean cut;
+  private boolean storeUnreachable;
   private int hotTeams;
   private double hotShare;
 
   /**
    * Creates the load.
    *
-   * @param budgetS how many seconds of the load the budgets pay for
-   * @param seed the seed of all that is drawn
+   * @param budgetS the number of seconds of the load that the budgets pay for
+   * @param seed the seed of all random values
    */
   FleetLoad(long budgetS, long seed) {
     this.budgets = budgets(budgetS);
-    this.world = new SpendingSimulation(teams, budgets, seed);
+    this.simulation = new SpendingSimulation(teams, budgets, seed);
   }
 
-  /** One request of a caller, at its first instance or at a second one. */
+  /** One request of a caller, at its first instance or at a second one after a refusal. */
   private static final class Request {
     private final Kind kind;
     private final int team;
     private final long tokens;
     private final boolean entitled;
-    private final long askedMs;
+    private final long sentMs;
     private final List<Long> refusedAfterMs = new ArrayList<>();
     private boolean servedInTime;
 
-    Request(Kind kind, int team, long tokens, boolean owed, long askedMs) {
+    Request(Kind kind, int team, long tokens, boolean entitled, long sentMs) {
       this.kind = kind;
       this.team = team;
       this.tokens = tokens;
-      this.entitled = owed;
-      this.askedMs = askedMs;
+      this.entitled = entitled;
+      this.sentMs = sentMs;
     }
   }
 
@@ -107,12 +113,12 @@
     return UNEVEN.budgets(seconds * tokensPerS);
   }
 
-  /** Starts all instances, before any caller comes. */
+  /** Starts all instances, before the first request. */
   void start() {
-    world.serializeWrites(WRITE_MS);
-    world.delayPeers(PEER_MS);
+    simulation.serializeWrites(WRITE_MS);
+    simulation.delayPeers(PEER_MS);
     startAll();
-    world.timers.advanceMs(BEFORE_TRAFFIC_MS);
+    simulation.timers.advanceMs(BEFORE_TRAFFIC_MS);
   }
 
   private void startAll() {
@@ -120,80 +126,81 @@
     for (int domain = 0; domain < INSTANCES_BY_DOMAIN.length; domain++) {
       for (int place = 0; place < INSTANCES_BY_DOMAIN[domain]; place++) {
         int started = instances.size();
-        world.timers.advanceMs(
+        simulation.timers.advanceMs(
             START_SPREAD_MS * (started + 1) / ALL_INSTANCES
                 - START_SPREAD_MS * started / ALL_INSTANCES);
-        SpendingSimulation.SimulatedInstance member = world.start("domain" + domain + "-" + place);
-        member.cutFromTable = cut;
-        instances.add(member);
+        SpendingSimulation.SimulatedInstance instance =
+            simulation.start("domain" + domain + "-" + place);
+        instance.tableUnreachable = storeUnreachable;
+        instances.add(instance);
       }
     }
   }
 
-  /** Cuts all instances off from the store. */
-  void cut() {
-    cut = true;
-    instances.forEach(member -> member.cutFromTable = true);
+  /** Makes the store unreachable for all instances. */
+  void disconnectStore() {
+    storeUnreachable = true;
+    instances.forEach(instance -> instance.tableUnreachable = true);
   }
 
-  /** Ends the cut. */
+  /** Makes the store reachable again. */
   void reconnectStore() {
-    cut = false;
-    instances.forEach(member -> member.cutFromTable = false);
+    storeUnreachable = false;
+    instances.forEach(instance -> instance.tableUnreachable = false);
   }
 
   /** Ends all processes at the same moment and starts their successors later. */
   void losePower(long outageMs) {
     instances.forEach(SpendingSimulation.SimulatedInstance::kill);
-    world.timers.advanceMs(outageMs);
+    simulation.timers.advanceMs(outageMs);
     startAll();
   }
 
-  /** Lets callers come for a while. */
-  void serve(double seconds) {
+  /** Sends requests for a time. */
+  void sendRequests(double seconds) {
     for (long ms = 0; ms < seconds * MS_PER_S; ms++) {
-      world.timers.advanceMs(1);
+      simulation.timers.advanceMs(1);
       for (dueRequests += (double) REQUESTS_PER_S / MS_PER_S; dueRequests >= 1; dueRequests--) {
-        ask();
+        sendRequest();
       }
     }
   }
 
-  /** Forgets the requests so far. */
+  /** Discards the requests so far. */
   void resetCounts() {
     requests.clear();
   }
 
-  private void ask() {
-    Kind kind = UnevenTeams.drawKind(world.random, KINDS, Kind::perS);
+  private void sendRequest() {
+    Kind kind = UnevenTeams.drawKind(simulation.random, KINDS, Kind::perS);
     int team = drawTeam();
-    long tokens = kind.draw(world.random);
+    long tokens = kind.draw(simulation.random);
     Request request =
-        new Request(kind, team, tokens, isEntitled(team, tokens), world.timers.nowMs());
+        new Request(kind, team, tokens, isEntitled(team, tokens), simulation.timers.nowMs());
     requests.add(request);
-    ask(request, true);
+    sendRequest(request, true);
   }
 
-  private void ask(Request request, boolean mayComeBack) {
-    instanceFor(request.team).ifPresent(member -> ask(request, member, mayComeBack));
+  private void sendRequest(Request request, boolean mayRetry) {
+    instanceFor(request.team).ifPresent(instance -> sendRequest(request, instance, mayRetry));
   }
 
-  private void ask(
-      Request request, SpendingSimulation.SimulatedInstance member, boolean mayComeBack) {
-    long triedMs = world.timers.nowMs();
+  private void sendRequest(
+      Request request, SpendingSimulation.SimulatedInstance instance, boolean mayRetry) {
+    long attemptedMs = simulation.timers.nowMs();
     var unused =
-        member
+        instance
             .reserve(teams.get(request.team), request.tokens)
             .whenComplete(
                 (reservation, error) -> {
-                  if (member.dead) {
+                  if (instance.killed) {
                     return;
                   }
                   if (error == null) {
-                    onReserved(request, member, reservation);
+                    onReserved(request, instance, reservation);
                   } else {
-                    request.refusedAfterMs.add(world.timers.nowMs() - triedMs);
-                    onRefused(request, (SpendingException) Failures.unwrap(error), mayComeBack);
+                    request.refusedAfterMs.add(simulation.timers.nowMs() - attemptedMs);
+                    onRefused(request, (SpendingException) Failures.unwrap(error), mayRetry);
                   }
                 });
   }
@@ -202,74 +209,74 @@
     return usedTokens[team] + reservedTokens[team] + tokens <= ENTITLED_SHARE * budgets.get(team);
   }
 
-  /** From now on a part of all requests comes from the largest teams alone. */
+  /** Makes a share of all requests come from the largest teams only, from now on. */
   void concentrateLoad(int teamCount, double share) {
     hotTeams = teamCount;
     hotShare = share;
   }
 
   private int drawTeam() {
-    return world.random.nextDouble() < hotShare
-        ? world.random.nextInt(hotTeams)
-        : UNEVEN.draw(world.random);
+    return simulation.random.nextDouble() < hotShare
+        ? simulation.random.nextInt(hotTeams)
+        : UNEVEN.draw(simulation.random);
   }
 
-  /** Empty if the instance has not started yet. */
+  /** Draws the instance for a request; empty if it has not started yet. */
   private Optional<SpendingSimulation.SimulatedInstance> instanceFor(int team) {
     int place =
         Arrays.stream(PINNED_TEAMS)
-            .filter(bound -> bound[0] == team)
-            .mapToInt(bound -> bound[1])
+            .filter(pinned -> pinned[0] == team)
+            .mapToInt(pinned -> pinned[1])
             .findFirst()
-            .orElseGet(() -> world.random.nextInt(ALL_INSTANCES));
+            .orElseGet(() -> simulation.random.nextInt(ALL_INSTANCES));
     return place < instances.size() ? Optional.of(instances.get(place)) : Optional.empty();
   }
 
   private void onReserved(
       Request request,
-      SpendingSimulation.SimulatedInstance member,
+      SpendingSimulation.SimulatedInstance instance,
       SpendingReservation reservation) {
-    long tookMs = world.timers.nowMs() - request.askedMs;
-    request.servedInTime = tookMs <= request.kind.aimMs() / TARGET_LATENCY_DIVISOR;
+    long tookMs = simulation.timers.nowMs() - request.sentMs;
+    request.servedInTime = tookMs <= request.kind.targetLatencyMs() / TARGET_LATENCY_DIVISOR;
     long used = Math.round(request.tokens * request.kind.usedShare());
     reservedTokens[request.team] += request.tokens;
-    world.timers.after(
+    simulation.timers.after(
         request.kind.tookMs(),
         () -> {
           reservedTokens[request.team] -= request.tokens;
           usedTokens[request.team] += used;
         });
-    member.after(request.kind.tookMs(), () -> reservation.settle(used));
+    instance.after(request.kind.tookMs(), () -> reservation.settle(used));
   }
 
-  private void onRefused(Request request, SpendingException refusal, boolean mayComeBack) {
-    if (mayComeBack && !refusal.isBudgetSpent()) {
-      world.timers.after(refusal.retryAfterMs(), () -> ask(request, false));
+  private void onRefused(Request request, SpendingException refusal, boolean mayRetry) {
+    if (mayRetry && !refusal.isBudgetSpent()) {
+      simulation.timers.after(refusal.retryAfterMs(), () -> sendRequest(request, false));
     }
   }
 
-  /** Says what part of the requests that are owed had their tokens in time, in a hundred. */
+  /** Returns the percentage of requests that must be served and had their tokens in time. */
   double inTimePercent() {
     return percent(requests);
   }
 
-  /** The same for one team; nothing owed counts as all in time. */
+  /** Returns the same percentage for one team, or 100 if it has no such requests. */
   double inTimePercent(int team) {
     return percent(requests.stream().filter(request -> request.team == team).toList());
   }
 
   private static double percent(List<Request> some) {
-    List<Request> owed = some.stream().filter(request -> request.entitled).toList();
-    long inTime = owed.stream().filter(request -> request.servedInTime).count();
-    return owed.isEmpty() ? 100 : 100.0 * inTime / owed.size();
+    List<Request> entitled = some.stream().filter(request -> request.entitled).toList();
+    long inTime = entitled.stream().filter(request -> request.servedInTime).count();
+    return entitled.isEmpty() ? 100 : 100.0 * inTime / entitled.size();
   }
 
-  /** Counts the requests that are owed. */
+  /** Returns the number of requests that must be served. */
   long entitledCount() {
     return requests.stream().filter(request -> request.entitled).count();
   }
 
-  /** Says what part of the requests that are owed were refused at least once, in a hundred. */
+  /** Returns the percentage of requests that must be served and were refused at least once. */
   double refusedPercent() {
     long refused =
         requests.stream()
@@ -278,12 +285,12 @@
     return 100.0 * refused / Math.max(1, entitledCount());
   }
 
-  /** Counts refusals. */
+  /** Returns the number of refusals. */
   int refusalCount() {
     return refusalsMs().size();
   }
 
-  /** Gives how long callers waited for their refusals, for so many in a hundred at the most. */
+  /** Returns a percentile of the time after which requests were refused. */
   long refusedAfterMs(int percentile) {
     List<Long> refusals = refusalsMs();
     return refusals.isEmpty() ? 0 : refusals.get((refusals.size() - 1) * percentile / 100);
@@ -293,12 +300,12 @@
     return requests.stream().flatMap(request -> request.refusedAfterMs.stream()).sorted().toList();
   }
 
-  /** Gives what part of all budgets counts as spent in the table, in a hundred. */
+  /** Returns the percentage of all budgets that counts as spent in the table. */
   double spentInTablePercent() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
-    SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
-    long counted = teams.stream().mapToLong(contents::spentTokens).sum();
-    return 100.0 * counted / budgets.stream().mapToLong(Long::longValue).sum();
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    SpendingTable.Snapshot snapshot = SpendingTable.Snapshot.of(rows, 0);
+    long spentTokens = teams.stream().mapToLong(snapshot::spentTokens).sum();
+    return 100.0 * spentTokens / budgets.stream().mapToLong(Long::longValue).sum();
   }
 
   @Override
@@ -308,8 +315,8 @@
             .filter(team -> inTimePercent(team) < 90)
             .mapToObj(team -> "%d: %.0f".formatted(team, inTimePercent(team)))
             .collect(Collectors.joining(", "));
-    return ("asked %d, owed %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and %d ms, "
-            + "counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
+    return ("asked %d, entitled %d, in time %.1f%%, refused %.1f%%, %d refusals after %d and "
+            + "%d ms, counted %.1f%%, writes %d, conflicts %d, teams below 90: %s")
         .formatted(
             requests.size(),
             entitledCount(),
@@ -319,8 +326,8 @@
             refusedAfterMs(50),
             refusedAfterMs(90),
             spentInTablePercent(),
-            world.writeCount(),
-            world.conflictCount(),
+            simulation.writeCount(),
+            simulation.conflictCount(),
             worst);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/PeerSpendingTest.java
@@ -33,9 +33,10 @@
     assertThat(others.activeCount()).isEqualTo(2);
   }
 
-  // An instance that no longer renews its row may be cut off and spending, up to its limit.
+  // An instance that no longer renews its row may be partitioned and still spending, up to its
+  // limit.
   @Test
-  void countsTheWholeLimitOfSilentInstances() {
+  void countsTheFullLimitOfInactiveInstances() {
     PeerSpending others =
         new PeerSpending(
             List.of(row(NOW_MS, "branch", 1_000, 5_000)),
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingDuringOutagesTest.java
@@ -10,11 +10,11 @@
 /**
  * Eight instances in three failure domains serve ten teams with long prompts.
  *
- * <p>Pattern: fifty requests a second come to all instances alike, most of a few thousand tokens
- * and some of many times that, so each pair of team and instance sees one in less than two seconds.
- * All instances lose the store for eight seconds, or their power for less than one. The grounds for
- * the figures: a budget is about what sixty seconds of this load use, and a request counts as
- * served in time if its tokens are there within the second that callers of long prompts hope for.
+ * <p>Load: 50 requests per second, spread evenly over all instances, most of a few thousand tokens
+ * and some many times larger, so each pair of team and instance receives one in less than two
+ * seconds. All instances lose the store for eight seconds, or their power for less than one. A
+ * budget is about what sixty seconds of this load use. A request counts as served in time if its
+ * tokens are reserved within the target latency of long prompts, which is one second.
  */
 class SpendingDuringOutagesTest {
 
@@ -35,7 +35,7 @@
   private static final int MORE_TOKENS = 6_000;
   private static final int LONG_TOKENS = 40_000;
 
-  /** One in so many requests is a long one. */
+  /** One in this many requests is long. */
   private static final int LONG_SHARE = 8;
 
   private static final long PREPAID_TOKENS = 3_000_000;
@@ -45,17 +45,17 @@
   private static final long OUTAGE_MS = 800;
 
   /**
-   * What the teams may lose together: 290 thousand were lost with a holder in each domain, 622
-   * thousand when each instance kept a request's worth of each team's budget open.
+   * Maximum tokens that the teams may lose together. 290,000 are lost with one holder in each
+   * domain, 622,000 if each instance keeps immediate tokens for a request of every team.
    */
   private static final long MAX_LOST_TOKENS = 400_000;
 
-  /** 988 of 1,000 were measured. */
+  /** The observed rate is 988 of 1,000. */
   private static final int LEAST_IN_TIME_PERCENT = 95;
 
   private final List<String> teams =
       IntStream.range(0, TEAMS).mapToObj(number -> "team-" + number).toList();
-  private final SpendingSimulation world = new SpendingSimulation(PREPAID_TOKENS, 5, teams);
+  private final SpendingSimulation simulation = new SpendingSimulation(PREPAID_TOKENS, 5, teams);
   private final List<SpendingSimulation.SimulatedInstance> instances = new ArrayList<>();
   private long spentTokens;
   private int asked;
@@ -63,75 +63,76 @@
 
   private void startAll() {
     instances.clear();
-    INSTANCES.forEach(id -> instances.add(world.start(id)));
+    INSTANCES.forEach(id -> instances.add(simulation.start(id)));
   }
 
   private int nextTokens() {
-    boolean isLong = world.random.nextInt(LONG_SHARE) == 0;
-    return LEAST_TOKENS + world.random.nextInt(isLong ? LONG_TOKENS : MORE_TOKENS);
+    boolean isLong = simulation.random.nextInt(LONG_SHARE) == 0;
+    return LEAST_TOKENS + simulation.random.nextInt(isLong ? LONG_TOKENS : MORE_TOKENS);
   }
 
-  private void ask() {
-    String team = teams.get(world.random.nextInt(TEAMS));
+  private void sendRequest() {
+    String team = teams.get(simulation.random.nextInt(TEAMS));
     long tokens = nextTokens();
-    long askedMs = world.timers.nowMs();
+    long sentMs = simulation.timers.nowMs();
     asked++;
-    SpendingSimulation.SimulatedInstance member =
-        instances.get(world.random.nextInt(instances.size()));
+    SpendingSimulation.SimulatedInstance instance =
+        instances.get(simulation.random.nextInt(instances.size()));
     var unused =
-        member
+        instance
             .reserve(team, tokens)
             .thenAccept(
                 reservation -> {
-                  spentTokens += member.dead ? 0 : tokens;
-                  inTime += world.timers.nowMs() - askedMs <= IN_TIME_MS ? 1 : 0;
+                  spentTokens += instance.killed ? 0 : tokens;
+                  inTime += simulation.timers.nowMs() - sentMs <= IN_TIME_MS ? 1 : 0;
                 });
   }
 
-  private void serve(long seconds) {
+  private void sendRequests(long seconds) {
     long stepsPerS = 1_000 / STEP_MS;
     for (long step = 0; step < seconds * stepsPerS; step++) {
-      world.timers.advanceMs(STEP_MS);
+      simulation.timers.advanceMs(STEP_MS);
       for (int request = 0; request < REQUESTS_PER_S / stepsPerS; request++) {
-        ask();
+        sendRequest();
       }
     }
   }
 
   private long countedTokens() {
-    var rows = world.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
+    var rows = simulation.table.scan(SpendingTable.TABLE, "", "", SpendingTable.MAX_ROWS).join();
     SpendingTable.Snapshot contents = SpendingTable.Snapshot.of(rows, 0);
     return teams.stream().mapToLong(contents::spentTokens).sum();
   }
 
-  // All instances lose power and their successors begin within a second. What counts as spent
-  // though nobody has spent it is lost for the teams, whose callers are refused at the end of it.
+  // All instances lose power, and their successors start within a second. Tokens that count as
+  // spent although they were not are lost to the teams, whose callers are refused at the end of the
+  // budget.
   @Test
   void powerLossOfAllInstancesCostsFewTokens() {
     startAll();
-    serve(SETTLED_S);
+    sendRequests(SETTLED_S);
     instances.forEach(SpendingSimulation.SimulatedInstance::kill);
-    world.timers.advanceMs(OUTAGE_MS);
+    simulation.timers.advanceMs(OUTAGE_MS);
     startAll();
-    world.timers.advanceMs(500);
+    simulation.timers.advanceMs(500);
 
     long lostTokens = countedTokens() - spentTokens;
     assertThat(lostTokens).isAtLeast(0);
     assertThat(lostTokens).isAtMost(MAX_LOST_TOKENS);
   }
 
-  // All instances lose the store for eight seconds. Callers are served from what the holders have
-  // ready and what opens there while they wait.
+  // All instances lose the store for eight seconds. Requests are served from the holders' immediate
+  // tokens and from tokens that are released while they wait.
   @Test
-  void mostCallersAreServedInTimeThroughCutOfAllInstances() {
+  void mostCallersAreServedInTimeDuringStoreOutage() {
     startAll();
-    serve(SETTLED_S);
+    sendRequests(SETTLED_S);
     asked = 0;
     inTime = 0;
-    instances.forEach(member -> member.cutFromTable = true);
-    serve(8);
-    instances.forEach(member -> member.cutFromTable = false);
-    serve(2);
+    instances.forEach(instance -> instance.tableUnreachable = true);
+    sendRequests(8);
+    instances.forEach(instance -> instance.tableUnreachable = false);
+    sendRequests(2);
 
     assertThat(inTime).isAtLeast(asked * LEAST_IN_TIME_PERCENT / 100);
     assertThat(spentTokens).isAtMost(TEAMS * PREPAID_TOKENS);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -30,7 +30,9 @@
 import java.util.function.Supplier;
 import java.util.stream.IntStream;
 
-/** Instances that spend one team's budget over a table and peers that fail as a test asks. */
+/**
+ * Instances that spend the budgets of teams, with a table and peers that fail as a test requires.
+ */
 final class SpendingSimulation {
 
   static final String TEAM = "branch";
@@ -57,13 +59,13 @@
     this(prepaidTokens, seed, List.of(TEAM));
   }
 
-  /** Each of the teams has the same budget. */
+  /** Creates a simulation in which all teams have the same budget. */
   SpendingSimulation(long prepaidTokens, long seed, List<String> teams) {
     this(teams, teams.stream().map(team -> 0L).toList(), seed);
     topUp(prepaidTokens);
   }
 
-  /** Each team has a budget of its own, in the order of the teams. */
+  /** Creates a simulation in which each team has its own budget, in the order of the teams. */
   SpendingSimulation(List<String> teams, List<Long> budgets, long seed) {
     this.random = new Random(seed);
     this.teams = teams;
@@ -72,17 +74,17 @@
     topUp(0);
   }
 
-  /** From now on the table writes one transaction after the other, each in this time. */
+  /** Makes the table write one transaction after the other, each in this time, from now on. */
   void serializeWrites(long takesMs) {
     writeTakesMs = takesMs;
   }
 
-  /** From now on a message between instances takes this long each way. */
+  /** Makes each message between instances take this long each way, from now on. */
   void delayPeers(long delayMs) {
     peerDelayMs = delayMs;
   }
 
-  /** Gives when a transaction that is sent now is written, after those before it. */
+  /** Returns the time until a transaction that is sent now is written, after those before it. */
   private long writtenInMs() {
     tableIdleAtMs = Math.max(tableIdleAtMs, timers.nowMs()) + writeTakesMs;
     return tableIdleAtMs - timers.nowMs();
@@ -113,22 +115,24 @@
     return prepaidTokens;
   }
 
-  /** All that was set aside and not returned, whatever has become of the instance. */
+  /**
+   * Returns all tokens that were reserved and not returned, including those of crashed instances.
+   */
   long spentTokens() {
     return spentTokens;
   }
 
-  /** Rows that were read by all instances so far. */
+  /** Returns the number of rows that all instances have read so far. */
   long rowsRead() {
     return rowsRead;
   }
 
-  /** Transactions that were sent so far, those that met a conflict too. */
+  /** Returns the number of transactions sent so far, including those with a conflict. */
   long writeCount() {
     return writeCount;
   }
 
-  /** Transactions that were not written as another instance had changed a row. */
+  /** Returns the number of transactions that were not written because of a conflict. */
   long conflictCount() {
     return conflictCount;
   }
@@ -145,16 +149,16 @@
   }
 
   SimulatedInstance start(String id) {
-    SimulatedInstance member = new SimulatedInstance(id);
-    instances.put(id, member);
-    return member;
+    SimulatedInstance instance = new SimulatedInstance(id);
+    instances.put(id, instance);
+    return instance;
   }
 
-  SimulatedInstance member(String id) {
+  SimulatedInstance instance(String id) {
     return instances.get(id);
   }
 
-  /** Instances are named after their failure domains. */
+  /** Returns the failure domain of an instance, which is part of its name. */
   private static String domainOf(String id) {
     return id.substring(0, id.lastIndexOf('-'));
   }
@@ -162,17 +166,17 @@
   /** One process of an instance. */
   final class SimulatedInstance implements Timers {
     private final String id;
-    private final List<Held> held = new ArrayList<>();
+    private final List<HeldReservation> held = new ArrayList<>();
     private final PeerDispatcher dispatcher = new PeerDispatcher();
     final SpendingController spending;
-    boolean dead;
-    boolean cutFromTable;
-    boolean cutFromPeers;
+    boolean killed;
+    boolean tableUnreachable;
+    boolean peersUnreachable;
     boolean answersLost;
-    boolean writesLate;
+    boolean writesDelayed;
     String lastRefusal = "";
 
-    private record Held(SpendingReservation reservation, long tokens) {}
+    private record HeldReservation(SpendingReservation reservation, long tokens) {}
 
     SimulatedInstance(String id) {
       this.id = id;
@@ -190,7 +194,7 @@
               dispatcher);
     }
 
-    /** Tries to set tokens aside; what is granted counts as spent at once. */
+    /** Tries to reserve tokens; what is granted counts as spent immediately. */
     boolean tryReserve(long tokens) {
       return tryReserve(TEAM, tokens);
     }
@@ -203,10 +207,10 @@
               (reservation, error) -> {
                 if (error != null) {
                   lastRefusal = String.valueOf(error.getMessage());
-                } else if (!dead) {
+                } else if (!killed) {
                   granted[0] = true;
                   spentTokens += tokens;
-                  held.add(new Held(reservation, tokens));
+                  held.add(new HeldReservation(reservation, tokens));
                 }
               });
       return granted[0];
@@ -217,8 +221,8 @@
     }
 
     void settleOne(long usedTokens) {
-      if (!held.isEmpty() && !dead) {
-        Held first = held.remove(0);
+      if (!held.isEmpty() && !killed) {
+        HeldReservation first = held.remove(0);
         long used = Math.min(usedTokens, first.tokens());
         first.reservation().settle(used);
         spentTokens -= first.tokens() - used;
@@ -226,7 +230,7 @@
     }
 
     void kill() {
-      dead = true;
+      killed = true;
     }
 
     private CompletableFuture<PeerMessage> ask(
@@ -236,13 +240,13 @@
           timeoutMs,
           () -> reply.completeExceptionally(PeerException.noReply(peer.id(), "timeout")));
       SimulatedInstance to = instances.get(peer.id());
-      if (cutFromPeers || to == null || to.cutFromPeers) {
+      if (peersUnreachable || to == null || to.peersUnreachable) {
         return reply;
       }
       timers.after(
           peerDelayMs,
           () -> {
-            if (!to.dead) {
+            if (!to.killed) {
               to.dispatcher
                   .dispatch(request)
                   .thenAccept(
@@ -268,22 +272,22 @@
 
     @Override
     public Subscription after(long delayMs, Runnable task) {
-      return timers.after(delayMs, () -> runIfAlive(task));
+      return timers.after(delayMs, () -> runUnlessKilled(task));
     }
 
     @Override
     public Subscription every(long periodMs, Runnable task) {
-      return timers.every(periodMs, () -> runIfAlive(task));
+      return timers.every(periodMs, () -> runUnlessKilled(task));
     }
 
-    private void runIfAlive(Runnable task) {
-      if (!dead) {
+    private void runUnlessKilled(Runnable task) {
+      if (!killed) {
         task.run();
       }
     }
   }
 
-  /** The store's clock is that of the timers. */
+  /** A store clock that equals the clock of the timers. */
   private final class TestClock implements StoreClock {
     @Override
     public long nowMs() {
@@ -296,14 +300,14 @@
     }
   }
 
-  /** One process's way to the table, with the faults of the process. */
+  /** One process's access to the table, with the faults of that process. */
   private final class FaultyTable implements TableService {
-    private static final long MAX_LATE_MS = 5_000;
+    private static final long MAX_DELAY_MS = 5_000;
 
-    private final SimulatedInstance member;
+    private final SimulatedInstance instance;
 
-    FaultyTable(SimulatedInstance member) {
-      this.member = member;
+    FaultyTable(SimulatedInstance instance) {
+      this.instance = instance;
     }
 
     @Override
@@ -319,29 +323,32 @@
 
     @Override
     public CompletableFuture<Boolean> write(Transaction transaction) {
-      long lateMs = member.writesLate ? random.nextLong(MAX_LATE_MS) : 0;
-      return call(lateMs, writtenInMs(), () -> count(table.write(transaction).join()));
+      long delayMs = instance.writesDelayed ? random.nextLong(MAX_DELAY_MS) : 0;
+      return call(delayMs, writtenInMs(), () -> count(table.write(transaction).join()));
     }
 
-    /** A late effect takes place even if its sender is dead by then, and is not answered. */
-    private <T> CompletableFuture<T> call(long lateMs, long takesMs, Supplier<T> effect) {
+    /**
+     * Applies an effect; a late one is applied even if its sender has crashed by then, and is not
+     * answered.
+     */
+    private <T> CompletableFuture<T> call(long delayMs, long takesMs, Supplier<T> effect) {
       CompletableFuture<T> answer = new CompletableFuture<>();
-      if (member.cutFromTable) {
-        member.after(
+      if (instance.tableUnreachable) {
+        instance.after(
             500, () -> answer.completeExceptionally(PlatformException.unreachable("table")));
         return answer;
       }
-      boolean lost = member.answersLost || lateMs > 0;
+      boolean lost = instance.answersLost || delayMs > 0;
       timers.after(
-          1 + lateMs + takesMs,
+          1 + delayMs + takesMs,
           () -> {
             T value = effect.get();
             if (!lost) {
-              member.after(ANSWER_MS, () -> answer.complete(value));
+              instance.after(ANSWER_MS, () -> answer.complete(value));
             }
           });
       if (lost) {
-        member.after(
+        instance.after(
             1_000, () -> answer.completeExceptionally(PlatformException.answerLost("table")));
       }
       return answer;
