--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/AvailabilityCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/AvailabilityCheck.java
@@ -9,13 +9,14 @@
 import java.util.Optional;
 
 /**
- * An upstream that leaves, has left or was started anew since it was chosen gets nothing.
+ * Rejects upstreams that are leaving, have left or have restarted since they were selected.
  *
- * <p>The list may be older than what the upstream has said in an answer; either is enough.
+ * <p>The registered list may be older than what the upstream has announced in a response, so either
+ * source is enough to reject it.
  */
 final class AvailabilityCheck implements SendCheck {
 
-  /** Those that follow it register within seconds. */
+  /** Replacement upstreams register within seconds. */
   private static final long RETRY_MS = 700;
 
   private final PublishedValue<UpstreamList> list;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
@@ -6,7 +6,9 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** An upstream that has asked this instance for rest gets nothing, also where no other is left. */
+/**
+ * Rejects upstreams that have requested a backoff from this instance, even when no other is left.
+ */
 final class BackoffCheck implements SendCheck {
 
   private final UpstreamBackoffs resting;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/DeadlineCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/DeadlineCheck.java
@@ -5,10 +5,10 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** No upstream works for a caller who will have gone before the answer. */
+/** Rejects a request whose caller will have disconnected before the upstream can answer. */
 final class DeadlineCheck implements SendCheck {
 
-  /** About when the requests that were in the way have ended. */
+  /** Approximate time until the requests that delayed this one have completed. */
   private static final long RETRY_MS = 400;
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/EvacuationCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/EvacuationCheck.java
@@ -8,14 +8,16 @@
 import java.util.Set;
 
 /**
- * Upstreams of a failure domain that operators are emptying get nothing new.
+ * Rejects upstreams in a failure domain that operators are evacuating.
  *
- * <p>What is under way there ends by itself. This is asked once more right before a request is
- * written, as one may have waited for a connection meanwhile.
+ * <p>Requests already in flight there are left to complete. The check runs again right before a
+ * request is written, because the request may have waited for a connection in the meantime.
  */
 final class EvacuationCheck implements SendCheck {
 
-  /** Nobody knows when a domain is taken back; a caller that asks once a second does no harm. */
+  /**
+   * The end of an evacuation is not known in advance; one retry per second is a negligible load.
+   */
   private static final long RETRY_MS = 1_000;
 
   private final PublishedValue<Set<String>> evacuatedDomains;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/PermitCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/PermitCheck.java
@@ -6,7 +6,7 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** An upstream that is bounded gets no more than all instances together may send it. */
+/** Limits the requests that all instances together send to an upstream with a rate limit. */
 final class PermitCheck implements SendCheck {
 
   private final SendPermits permits;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/QuarantineCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/QuarantineCheck.java
@@ -5,10 +5,12 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** A request under which several upstreams have ended would end the next one too. */
+/**
+ * Rejects a request under which several upstreams have crashed, as it would crash the next one too.
+ */
 final class QuarantineCheck implements SendCheck {
 
-  /** An upstream that ended is back after some seconds; the request itself stays refused longer. */
+  /** A crashed upstream is back after some seconds; the request itself stays refused longer. */
   private static final long RETRY_MS = 5_000;
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/RegionCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/RegionCheck.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Requests with home regions are worked on there and nowhere else.
+ * Restricts requests with allowed regions to upstreams in those regions.
  *
- * <p>An upstream in a domain whose region nobody has told gets none of them: what may not leave its
- * region must not go where the region is a guess.
+ * <p>Upstreams in a failure domain whose region is not configured get none of these requests: data
+ * that must not leave its region must not be sent to an unknown one.
  */
 final class RegionCheck implements SendCheck {
 
-  /** Upstreams of a region that has none left register again within seconds. */
+  /** When a region has no upstreams left, new ones register within seconds. */
   private static final long RETRY_MS = 1_000;
 
   private final Map<String, String> regionByDomain;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/Rejection.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/Rejection.java
@@ -3,9 +3,9 @@
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 
 /**
- * Why a request may not be sent to an upstream.
+ * The reason why a request may not be sent to an upstream.
  *
- * @param cause what its caller is told when this stands in the way everywhere
- * @param retryAfterMs when it may be over
+ * @param cause the cause reported to the caller when every upstream is rejected
+ * @param retryAfterMs the time after which the reason may no longer apply
  */
 public record Rejection(Cause cause, long retryAfterMs) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/ReservationCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/ReservationCheck.java
@@ -5,10 +5,10 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** Nothing runs for which no tokens are set aside: a team's budget could be overspent. */
+/** Rejects requests without reserved tokens, which could overspend a team's budget. */
 final class ReservationCheck implements SendCheck {
 
-  /** Tokens of other instances can be here after a renewal or a loan. */
+  /** Tokens of other instances can arrive here through a renewal or a loan. */
   private static final long RETRY_MS = 700;
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendCheck.java
@@ -4,17 +4,17 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** One reason for which a request may not be sent to an upstream; asking changes nothing. */
+/** Checks one condition for sending a request to an upstream; has no side effects. */
 @FunctionalInterface
 public interface SendCheck {
 
   /**
-   * Asks about one upstream.
+   * Checks one upstream.
    *
    * @param upstream the upstream
    * @param query the request
-   * @param nowMs the time
-   * @return what stands in the way, or empty when this reason does not
+   * @param nowMs the current time
+   * @return the reason for rejecting the upstream, or empty if this check passes
    */
   Optional<Rejection> check(RegisteredUpstream upstream, UpstreamQuery query, long nowMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
@@ -18,23 +18,24 @@
 import java.util.stream.IntStream;
 
 /**
- * Everything that a request meets before it is sent, in one order, whether it is sent for the first
- * time, again, or goes on elsewhere.
+ * Runs all checks before a request is sent, always in the same order, whether it is the first
+ * attempt, a retry or the continuation of a stream at another upstream.
  *
  * <pre>{@code
  * UpstreamPicker picker = new UpstreamPicker(list, loads, costs, checks, ...);
  * boolean mayBeWritten = checks.admit(upstream, query);
  * }</pre>
  *
- * <p>What concerns the request itself comes first, as it is the same for every upstream. Then comes
- * what operators say, then what upstreams say, and at last what is used up by asking for it.
+ * <p>Checks of the request itself come first, as their result is the same for every upstream. Then
+ * come the decisions of operators, then what upstreams have announced, and last the permits, which
+ * are limited.
  */
 public final class SendChecks implements UpstreamFilter {
 
-  /** Least time that is worth an upstream's work: less than its fastest answers take. */
+  /** Minimum remaining time worth sending a request for: less than the fastest answers take. */
   public static final long MIN_REMAINING_MS = 20;
 
-  /** When to come back if nobody is there: upstreams register within seconds. */
+  /** Used when no upstream is registered; upstreams register within seconds. */
   private static final Rejection NO_UPSTREAM = new Rejection(Cause.NO_UPSTREAM, 700);
 
   private final PublishedValue<UpstreamList> list;
@@ -48,12 +49,12 @@
    *
    * @param list the registered upstreams
    * @param regionByDomain the region of each failure domain
-   * @param evacuatedDomains the failure domains that operators are emptying
-   * @param leaving the upstreams that have said that they leave
-   * @param resting the upstreams that have asked this instance for rest
-   * @param warmUps shares out what upstreams bear while they warm up
-   * @param limits shares out what upstreams take that name a limit
-   * @param timers the time
+   * @param evacuatedDomains the failure domains that operators are evacuating
+   * @param leaving the upstreams that have announced that they are leaving
+   * @param resting the upstreams that have requested a backoff from this instance
+   * @param warmUps the permits for upstreams that are warming up
+   * @param limits the permits for upstreams that announce a rate limit
+   * @param timers the clock
    */
   public SendChecks(
       PublishedValue<UpstreamList> list,
@@ -87,14 +88,15 @@
   }
 
   /**
-   * Decides right before a request is written, and counts it where an upstream takes only so much.
+   * Checks a request right before it is written and acquires the permits that its upstream
+   * requires.
    *
-   * <p>Between the choice and an open connection an upstream may begin to leave, its domain may be
-   * evacuated, or the request may have ended a third upstream elsewhere.
+   * <p>Between selection and an open connection the upstream may have begun to leave, its failure
+   * domain may have been evacuated, or the request may have crashed a third upstream elsewhere.
    *
-   * @param upstream the upstream that was chosen
+   * @param upstream the selected upstream
    * @param query the request
-   * @return true when it may be written now
+   * @return true if the request may be written now
    */
   public boolean admit(RegisteredUpstream upstream, UpstreamQuery query) {
     return permits(upstream, query, timers.nowMs())
@@ -103,10 +105,11 @@
   }
 
   /**
-   * Says why no upstream may get a request: what stands in the way of the one that comes nearest.
+   * Returns why no upstream may get a request: the rejection of the upstream that passed the most
+   * checks.
    *
    * @param query the request
-   * @return the objection
+   * @return the rejection
    */
   public Rejection findRejection(UpstreamQuery query) {
     record Placed(int place, Rejection objection) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/package-info.java
@@ -1,2 +1,2 @@
-/** What forbids to send a request to an upstream, in one list that every send goes through. */
+/** Checks that every request must pass before it is sent to an upstream. */
 package io.mothrill.core.forward.check;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/Crash.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/Crash.java
@@ -1,25 +1,26 @@
 package io.mothrill.core.forward.crash;
 
 /**
- * One upstream that ended while it had a certain request.
+ * A crash of an upstream while it was running a request.
  *
- * @param incarnation the start of the upstream that ended
- * @param reporter the instance that saw it
- * @param atMs when, by this instance's steady clock
+ * @param incarnation the incarnation of the upstream that crashed
+ * @param reporter the instance that detected the crash
+ * @param atMs the time of the crash on this instance's monotonic clock
  */
 public record Crash(String incarnation, String reporter, long atMs) {
 
   /**
-   * Reports of one crash are so close together; an upstream that ends takes longer to be back. Not
-   * every upstream tells its start, so one name may stand for several of its processes.
+   * Reports of the same crash arrive within this time, which is shorter than the restart of an
+   * upstream. Not every upstream reports its start time, so several of its processes may share one
+   * incarnation name.
    */
   private static final long DUPLICATE_WINDOW_MS = 1_000;
 
   /**
-   * Says whether an earlier report is about this same crash.
+   * Checks whether an earlier report describes the same crash.
    *
-   * @param earlier a report of no later time
-   * @return true when both mean the same end of the same process
+   * @param earlier a report that is not later than this one
+   * @return true if both describe the same crash of the same process
    */
   boolean isDuplicateOf(Crash earlier) {
     return earlier.incarnation.equals(incarnation) && atMs - earlier.atMs < DUPLICATE_WINDOW_MS;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashCounts.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashCounts.java
@@ -1,13 +1,13 @@
 package io.mothrill.core.forward.crash;
 
 /**
- * What an instance knows of requests under which upstreams crashed, in counts.
+ * Counters of this instance about requests under which upstreams crashed.
  *
- * @param suspects requests under which one or two upstreams ended
- * @param quarantined requests that no upstream gets
- * @param sent messages to other instances
- * @param received messages of other instances
- * @param dropped requests that were forgotten for lack of room
+ * @param suspects requests under which one or two upstreams crashed
+ * @param quarantined requests that are sent to no upstream
+ * @param sent messages sent to other instances
+ * @param received messages received from other instances
+ * @param dropped requests evicted because the limit was reached
  */
 public record CrashCounts(
     long suspects, long quarantined, long sent, long received, long dropped) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGossip.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGossip.java
@@ -19,54 +19,65 @@
 import java.util.stream.IntStream;
 
 /**
- * Lets all instances know the same of requests under which upstreams crash.
+ * Distributes crash records, so that all instances know the same requests under which upstreams
+ * crash.
  *
- * <p>Failure: each instance counts only the crashes that it saw itself, and the request comes to
- * another one each time. Symptom: every instance loses three upstreams to it, a fleet of a hundred
- * loses hundreds. A crash is therefore told to all others at once. Messages may get lost, and
- * instances may have been cut off or have just started, so what is known of requests with two
- * crashes or more is told again, to one instance after the other, and a new instance asks. On a
- * calm day nothing is known and nothing is sent.
+ * <p>If each instance counted only the crashes it detected itself, a request that arrives at a
+ * different instance each time would crash three upstreams per instance, hundreds in a fleet of a
+ * hundred instances. A crash is therefore broadcast to all instances at once. Messages may be lost,
+ * and instances may have been partitioned or have just started, so records with two or more crashes
+ * are repeated to one instance after the other, and a new instance requests them. Without crashes
+ * nothing is known and nothing is sent.
  */
 public final class CrashGossip {
 
-  /**
-   * Time to gather the requests that one crash ended; shorter than a caller takes to come again.
-   */
+  /** Time to batch the requests affected by one crash; shorter than a caller takes to retry. */
   private static final long BATCH_DELAY_MS = 2;
 
-  /** Pause between two rounds of messages, so that many crashes at once do not flood anybody. */
+  /**
+   * Interval between two rounds of messages, so that many crashes at once do not flood the
+   * instances.
+   */
   private static final long ROUND_INTERVAL_MS = 200;
 
   /**
-   * Most datagrams of one round: 3,000 a second, less than a tenth of a small instance's time. What
-   * is left over goes with the next round, requests with the most crashes first.
+   * Maximum number of datagrams per round. This is 3,000 per second, less than a tenth of a small
+   * instance's time. The remaining records follow in the next round, those with the most crashes
+   * first.
    */
   private static final int MAX_DATAGRAMS_PER_ROUND = 600;
 
-  /** Most instances that are told at once; in a larger fleet each round tells the next ones. */
+  /** Maximum number of recipients per round; in a larger fleet each round goes to the next ones. */
   private static final int MAX_RECIPIENTS = 300;
 
-  /** Whoever saw a crash tells all again after these times, as a datagram may get lost. */
+  /**
+   * An instance that detected a crash broadcasts it again after these delays, as datagrams may be
+   * lost.
+   */
   private static final List<Long> RESEND_DELAYS_MS = List.of(500L, 1_500L);
 
   /**
-   * How often one other instance is told again: four a second from each, so each hears about four a
-   * second whatever the number of instances, 5 KB at the most. One that was cut off hears twelve
-   * within three seconds.
+   * Interval between repeats, each to one other instance. Each instance sends four per second and
+   * so receives about four per second whatever the number of instances, 5 KB at most. An instance
+   * that was partitioned receives twelve within three seconds.
    */
   private static final long REPEAT_INTERVAL_MS = 250;
 
-  /** A new instance asks so often, each time others. */
+  /** Number of times that a new instance requests records, each time from other instances. */
   private static final int SYNC_ROUNDS = 4;
 
   private static final int SYNC_PEERS = 3;
   private static final long SYNC_INTERVAL_MS = 250;
 
-  /** Answers to a question: some thirty requests, far more than ever crash upstreams at a time. */
+  /**
+   * Maximum number of messages in a reply to a sync request. They hold about thirty requests, far
+   * more than ever crash upstreams at the same time.
+   */
   private static final int MAX_SYNC_REPLIES = 4;
 
-  /** Single crashes are mostly of bystanders, which are many; they are told once. */
+  /**
+   * Single crashes mostly concern unrelated requests, which are many, so they are sent only once.
+   */
   private static final int MIN_REPEATED_CRASHES = 2;
 
   private final Supplier<List<InstanceRecord>> others;
@@ -85,14 +96,15 @@
   private final Subscription syncTimer;
 
   /**
-   * Begins to tell others, and asks them for what they know.
+   * Starts the gossip and requests the records of other instances.
    *
-   * @param others the instances that are there
+   * @param others the other running instances
    * @param reports sends messages
-   * @param records what is known
-   * @param heard gets what others say
-   * @param timers the time
-   * @param random lets each instance begin with others, so that all are told about as often
+   * @param records the records of this instance
+   * @param heard called with each record received
+   * @param timers the clock
+   * @param random varies the first recipients between instances, so that all receive repeats about
+   *     equally often
    */
   CrashGossip(
       Supplier<List<InstanceRecord>> others,
@@ -111,7 +123,7 @@
     this.syncTimer = timers.every(SYNC_INTERVAL_MS, this::requestSync);
   }
 
-  /** Tells all others of a crash that was seen here. */
+  /** Broadcasts a crash that this instance detected. */
   void onCrash(Fingerprint fingerprint) {
     broadcast(fingerprint);
     RESEND_DELAYS_MS.forEach(delayMs -> timers.after(delayMs, () -> rebroadcast(fingerprint)));
@@ -124,7 +136,7 @@
         .ifPresent(record -> broadcast(fingerprint));
   }
 
-  /** Tells all others what is now known of a request. */
+  /** Broadcasts the current record of a request to all other instances. */
   void broadcast(Fingerprint fingerprint) {
     unsent.add(fingerprint);
     if (roundScheduled.compareAndSet(false, true)) {
@@ -205,10 +217,11 @@
   }
 
   /**
-   * Asks other instances.
+   * Requests the records of other instances.
    *
-   * <p>Failure: an instance was replaced while a request was refused everywhere else. Symptom: the
-   * repeats that come to it crash upstreams again. It asks as soon as it knows the others.
+   * <p>An instance that was replaced while a request was quarantined knows no records, so retries
+   * of the request that arrive there would crash upstreams again. It sends the request as soon as
+   * it knows the other instances.
    */
   private void requestSync() {
     if (others.get().isEmpty()) {
@@ -224,10 +237,10 @@
   }
 
   /**
-   * Takes a message.
+   * Called when a message arrives.
    *
-   * @param message what another instance tells or asks
-   * @param sender where an answer goes
+   * @param message the records or the sync request of another instance
+   * @param sender the recipient of a reply
    */
   public void onMessage(CrashMessage message, InstanceRecord sender) {
     long nowMs = timers.nowMs();
@@ -242,7 +255,7 @@
     }
   }
 
-  /** Tells one that still refuses a request of a good run that it has missed. */
+  /** Notifies a sender that still counts crashes of a successful run that it has missed. */
   private void sendCorrections(List<CrashRecord> told, InstanceRecord sender) {
     List<CrashRecord> better =
         told.stream()
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
@@ -18,29 +18,30 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps requests that end upstreams away from them.
+ * Keeps requests that crash upstreams from being sent to more upstreams.
  *
  * <pre>{@code
- * guard.onBroken(fingerprint, upstream);
- * guard.settled(fingerprint, 3).thenRun(() -> decide(guard.countOf(fingerprint)));
+ * guard.onConnectionLost(fingerprint, upstream);
+ * guard.awaitProbes(fingerprint, 3).thenRun(() -> decide(guard.crashCount(fingerprint)));
  * }</pre>
  *
- * <p>Failure: a request ends each upstream that begins to run it, and comes again, at any instance.
- * Symptom: upstreams end one after the other in a calm fleet, and with each of them the answers of
- * all who share it. A crash is kept under the request's fingerprint for minutes and told to all
- * instances; after three no upstream gets it. It is no matter of one request's retries: each repeat
- * is a request of its own, so only what is kept beyond requests can stop it.
+ * <p>A request that crashes each upstream that runs it, and that callers repeat at any instance,
+ * would take down one upstream after the other, and with each of them all other requests it is
+ * running. Crashes are therefore kept under the request's fingerprint for minutes and broadcast to
+ * all instances; after three crashes no upstream gets the request. Limiting the retries of a single
+ * request would not help: each repeat is a request of its own, so only state that outlives requests
+ * can stop it.
  *
- * <p>Those who merely share an upstream with it are not refused: each of them would have to lose
- * three upstreams without one run that ends well between. A closed connection counts only once its
- * upstream is found to have ended.
+ * <p>Requests that merely share an upstream with it are not refused: each of them would have to
+ * lose three upstreams without a successful run in between. A closed connection counts only once
+ * its upstream is found to have terminated.
  */
 public final class CrashGuard {
 
   /**
-   * Longest wait of a request for what is being found out. An upstream in reach shows its end
-   * within a round trip; one that is cut off shows nothing for seconds, and a request that waited
-   * for that would miss its own time.
+   * Maximum time that a request waits for pending probes. The termination of a reachable upstream
+   * shows within a round trip; a partitioned one shows nothing for seconds, and a request that
+   * waited for it would miss its own deadline.
    */
   private static final long MAX_PROBE_WAIT_MS = 100;
 
@@ -58,14 +59,14 @@
    * Creates the guard.
    *
    * @param self this instance
-   * @param others the other instances that are there
+   * @param others the other running instances
    * @param reports sends messages to them
-   * @param rows keeps what is refused for processes that start
-   * @param storeClock the clock of its store
-   * @param ends finds out whether an upstream has ended
-   * @param serving says of an upstream whether it is registered and not leaving
-   * @param timers the time
-   * @param random lets instances tell each other in different orders
+   * @param rows stores quarantined requests for processes that start later
+   * @param storeClock the clock of the store
+   * @param ends probes whether an upstream has terminated
+   * @param serving checks whether an upstream is registered and not leaving
+   * @param timers the clock
+   * @param random varies the order in which instances notify each other
    */
   public CrashGuard(
       InstanceRecord self,
@@ -86,43 +87,45 @@
   }
 
   /**
-   * Says whether no request is under suspicion, so that none needs a fingerprint.
+   * Checks whether no crash is known or being probed, so that no request needs a fingerprint.
    *
-   * @return true on a calm day
+   * @return true if there is nothing to check requests against
    */
   public boolean isIdle() {
     return records.isEmpty() && pendingProbes.isEmpty();
   }
 
   /**
-   * Finds the record of a request.
+   * Finds the crash record of a request.
    *
    * @param fingerprint the request
-   * @return what is known of it
+   * @return its record, if there is one
    */
   public Optional<CrashRecord> find(Fingerprint fingerprint) {
     return records.find(fingerprint);
   }
 
   /**
-   * Counts the upstreams that are known to have ended under a request.
+   * Returns the number of upstreams known to have crashed under a request.
    *
    * @param fingerprint the request
-   * @return a count
+   * @return the number of crashes
    */
   public int crashCount(Fingerprint fingerprint) {
     return find(fingerprint).map(record -> record.countAt(timers.nowMs())).orElse(0);
   }
 
   /**
-   * Waits until it is known whether so many upstreams have ended under a request.
+   * Waits until it is known whether the number of crashes under a request has reached a limit.
    *
-   * <p>Its repeat may come before it is known whether the last one has ended. It waits for that
-   * only if the answer decides about it, which takes milliseconds where the upstream is in reach.
+   * <p>A request may be repeated before the probe of its last upstream has completed. It waits only
+   * if the result decides whether the request is sent, which takes milliseconds if the upstream is
+   * reachable.
    *
    * @param fingerprint the request
-   * @param limit the count that decides
-   * @return completes when the count is below the limit for certain, or once it may be used
+   * @param limit the decisive number of crashes
+   * @return completes when the count is certainly below the limit, the probes have completed or the
+   *     maximum wait is over
    */
   public CompletableFuture<Void> awaitProbes(Fingerprint fingerprint, int limit) {
     List<CompletableFuture<Void>> open = pendingProbes.getOrDefault(fingerprint, List.of());
@@ -138,13 +141,13 @@
   }
 
   /**
-   * Notes that the connection to an upstream was closed or reset under a request.
+   * Called when the connection to an upstream was closed or reset while it was running a request.
    *
-   * <p>An upstream that leaves cuts off what it cannot finish, and one that is not in the list any
-   * more may be doing that: neither has crashed.
+   * <p>An upstream that is leaving closes connections with unfinished requests, and one that is no
+   * longer in the list may be doing that: neither has crashed.
    *
    * @param fingerprint the request
-   * @param upstream the upstream that had it
+   * @param upstream the upstream that was running it
    */
   public void onConnectionLost(Fingerprint fingerprint, RegisteredUpstream upstream) {
     if (!isServing.test(upstream)) {
@@ -176,11 +179,11 @@
   }
 
   /**
-   * Notes that an upstream has ended under a request.
+   * Records that an upstream has terminated while it was running a request.
    *
    * @param fingerprint the request
-   * @param upstream the upstream that had it
-   * @param atMs when
+   * @param upstream the upstream that was running it
+   * @param atMs the time of the crash
    */
   public void onCrash(Fingerprint fingerprint, RegisteredUpstream upstream, long atMs) {
     Crash crash = new Crash(upstream.incarnation(), self.id(), atMs);
@@ -194,7 +197,7 @@
     gossip.onCrash(fingerprint);
   }
 
-  /** Adds what this instance or another one knows. */
+  /** Merges a record from this instance or another one. */
   private void add(CrashRecord more) {
     long nowMs = timers.nowMs();
     boolean before = isQuarantined(more.fingerprint(), nowMs);
@@ -211,7 +214,9 @@
     }
   }
 
-  /** Writes a row at the few instances that saw a crash themselves, so that others need not. */
+  /**
+   * Saves a row only at the few instances that detected a crash themselves; the others need not.
+   */
   private void saveIfReportedBySelf(CrashRecord record) {
     if (record.crashes().stream().anyMatch(crash -> crash.reporter().equals(self.id()))) {
       table.save(record.fingerprint());
@@ -223,7 +228,8 @@
   }
 
   /**
-   * Notes that a run of a request has ended well: it was a bystander.
+   * Called when a run of a request has succeeded, which shows that it did not cause the earlier
+   * crashes.
    *
    * @param fingerprint the request
    */
@@ -241,19 +247,19 @@
   }
 
   /**
-   * Takes a message of another instance.
+   * Called when a message of another instance arrives.
    *
-   * @param message what it tells or asks
-   * @param sender where an answer goes
+   * @param message its records or sync request
+   * @param sender the recipient of a reply
    */
   public void onMessage(CrashMessage message, InstanceRecord sender) {
     gossip.onMessage(message, sender);
   }
 
   /**
-   * Gives the counts that metrics show.
+   * Returns the counters for the metrics.
    *
-   * @return the counts now
+   * @return the current counters
    */
   public CrashCounts counts() {
     long nowMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashMessage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashMessage.java
@@ -5,36 +5,36 @@
 import java.util.Optional;
 
 /**
- * What one instance tells others about requests under which upstreams crashed. Times are ages, as
- * the clocks of instances have nothing in common.
+ * A message between instances about requests under which upstreams crashed. Times are sent as ages,
+ * because the clocks of instances are not synchronized.
  *
  * @param entries the requests; few enough for one datagram
- * @param requestsReply true when the sender wants to be told what the receiver knows
+ * @param requestsReply true if the sender requests the records of the receiver
  */
 public record CrashMessage(List<Entry> entries, boolean requestsReply) {
 
   /**
-   * Most requests in a message: with three crashes each about 175 bytes, so that it fits into a
-   * datagram that no link splits.
+   * Maximum number of requests in a message. With three crashes each takes about 175 bytes, so the
+   * message fits into a datagram that no link fragments.
    */
   public static final int MAX_ENTRIES = 7;
 
-  /** Takes a copy of the entries. */
+  /** Copies the entries. */
   public CrashMessage {
     entries = List.copyOf(entries);
   }
 
   /**
-   * What is known of one request.
+   * The crash record of one request.
    *
    * @param fingerprint the request
-   * @param crashes the upstreams that ended under it
-   * @param clearedAgeMs how long ago a run of it ended well, if one did
+   * @param crashes the crashes under it
+   * @param clearedAgeMs the age of its last successful run, if there was one
    */
   public record Entry(
       Fingerprint fingerprint, List<CrashAge> crashes, Optional<Long> clearedAgeMs) {
 
-    /** Takes a copy of the crashes. */
+    /** Copies the crashes. */
     public Entry {
       crashes = List.copyOf(crashes);
     }
@@ -61,9 +61,9 @@
   /**
    * One crash.
    *
-   * @param incarnation the start of the upstream that ended
-   * @param reporter the instance that saw it
-   * @param ageMs how long ago
+   * @param incarnation the incarnation of the upstream that crashed
+   * @param reporter the instance that detected the crash
+   * @param ageMs the age of the crash
    */
   public record CrashAge(String incarnation, String reporter, long ageMs) {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashMessageSender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashMessageSender.java
@@ -3,15 +3,15 @@
 import io.mothrill.core.platform.InstanceRecord;
 import java.util.List;
 
-/** Sends what is known of requests to other instances; what it sends may be lost. */
+/** Sends crash records to other instances; messages may be lost. */
 @FunctionalInterface
 public interface CrashMessageSender {
 
   /**
    * Sends one message.
    *
-   * @param message what to tell
-   * @param to the instances that get it
+   * @param message the message
+   * @param to the recipients
    */
   void send(CrashMessage message, List<InstanceRecord> to);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecord.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecord.java
@@ -9,49 +9,54 @@
 import java.util.stream.Stream;
 
 /**
- * What is known of one request under which upstreams crashed; immutable.
+ * The crashes known for one request; immutable.
  *
  * <pre>{@code
  * CrashRecord record = CrashRecord.of(fingerprint).with(crash);
  * boolean refuse = record.isQuarantined(nowMs);
  * }</pre>
  *
- * <p>Merging is a union that keeps the earlier report of each crash and the later sign of
- * innocence, so messages may be lost, doubled, late or out of order: whoever has heard the same
- * facts believes the same.
+ * <p>Merging is a union that keeps the earliest report of each crash and the latest successful run.
+ * Messages may therefore be lost, duplicated, late or out of order: instances that have received
+ * the same reports have the same record.
  *
  * @param fingerprint the request
- * @param crashes the crashes that count, newest first, one for each start of an upstream
- * @param clearedMs when a run of the request last ended well; crashes before that do not count
+ * @param crashes the crashes that count, newest first, one per incarnation of an upstream
+ * @param clearedMs the end of the last successful run; earlier crashes do not count
  */
 public record CrashRecord(Fingerprint fingerprint, List<Crash> crashes, long clearedMs) {
 
-  /** Upstreams that may end under a request before it is sent to none. */
+  /** Number of crashes after which a request is sent to no upstream. */
   public static final int MAX_CRASHES = 3;
 
   /**
-   * How long a request is refused after its last crash. Long against the seconds in which an
-   * upstream is replaced: a request that comes without end costs one upstream in ten minutes, and
-   * operators have the time to see it. Short against a day, in which a new version of the upstream
-   * may bear it.
+   * How long a request is refused after its last crash. This is long compared with the seconds that
+   * replacing an upstream takes: a request that is repeated forever costs one upstream in ten
+   * minutes, and operators have time to notice. It is short compared with a day, after which a new
+   * version of the upstream may handle the request.
    */
   static final long QUARANTINE_MS = 600_000;
 
-  /** After the quarantine one more crash brings it back, for as long again. */
+  /**
+   * For this time after the quarantine, one more crash starts another quarantine of full length.
+   */
   private static final long EXPIRY_MS = 2 * QUARANTINE_MS;
 
-  /** Reports of crashes before a good run come seconds later at the most; then it is forgotten. */
+  /**
+   * Crashes from before a successful run are reported seconds later at most; then the record can be
+   * removed.
+   */
   private static final long CLEARED_RETENTION_MS = 60_000;
 
-  /** Far in the past, so that the differences to it do not overflow. */
+  /** Far in the past, so that differences to it do not overflow. */
   private static final long NEVER_MS = Long.MIN_VALUE / 4;
 
-  /** Takes a copy of the crashes that count, newest first. */
+  /** Copies the crashes that count, newest first. */
   public CrashRecord {
     crashes = retained(crashes, clearedMs);
   }
 
-  /** One more than are needed, in case a sign of innocence takes some of them away. */
+  /** One more than needed, because a successful run may invalidate some of them. */
   private static final int MAX_KEPT = MAX_CRASHES + 1;
 
   private static List<Crash> retained(Collection<Crash> crashes, long clearedMs) {
@@ -63,40 +68,40 @@
   }
 
   /**
-   * Begins a record.
+   * Creates an empty record.
    *
    * @param fingerprint the request
-   * @return a record of no crash
+   * @return a record without crashes
    */
   public static CrashRecord of(Fingerprint fingerprint) {
     return new CrashRecord(fingerprint, List.of(), NEVER_MS);
   }
 
   /**
-   * Adds a crash; one that is known already is not counted again.
+   * Adds a crash; a crash that is already known is not counted twice.
    *
    * @param crash the crash
-   * @return a record with it
+   * @return a record with the crash
    */
   public CrashRecord with(Crash crash) {
     return merge(new CrashRecord(fingerprint, List.of(crash), clearedMs));
   }
 
   /**
-   * Notes that a run of the request has ended well: what crashed before was not its fault.
+   * Records a successful run of the request, which shows that it did not cause the earlier crashes.
    *
-   * @param atMs when it ended
-   * @return a record without the crashes before
+   * @param atMs the end of the run
+   * @return a record without the earlier crashes
    */
   public CrashRecord cleared(long atMs) {
     return new CrashRecord(fingerprint, crashes, Math.max(clearedMs, atMs));
   }
 
   /**
-   * Adds what another record of the same request knows.
+   * Merges another record of the same request into this one.
    *
    * @param other the other record
-   * @return a record of both
+   * @return the merged record
    */
   public CrashRecord merge(CrashRecord other) {
     List<Crash> union = new ArrayList<>();
@@ -108,10 +113,10 @@
   }
 
   /**
-   * Counts the crashes that speak against the request.
+   * Returns the number of crashes attributed to the request.
    *
-   * @param nowMs the time
-   * @return a count; falls below the limit once the quarantine is over
+   * @param nowMs the current time
+   * @return the number of crashes; falls below the limit once the quarantine is over
    */
   public int countAt(long nowMs) {
     long quietMs = nowMs - lastCrashMs();
@@ -122,44 +127,44 @@
   }
 
   /**
-   * Says whether the request is to be sent to no upstream.
+   * Checks whether the request must not be sent to any upstream.
    *
-   * @param nowMs the time
-   * @return true while it is refused
+   * @param nowMs the current time
+   * @return true while the request is refused
    */
   public boolean isQuarantined(long nowMs) {
     return countAt(nowMs) >= MAX_CRASHES;
   }
 
   /**
-   * Says when the request may be tried again.
+   * Returns the time until the request may be sent again.
    *
-   * @param nowMs the time
-   * @return milliseconds from now; 0 when it may be tried
+   * @param nowMs the current time
+   * @return milliseconds from now; 0 if it may be sent
    */
   public long retryAfterMs(long nowMs) {
     return isQuarantined(nowMs) ? lastCrashMs() + QUARANTINE_MS - nowMs : 0;
   }
 
-  /** Says whether nothing in it matters any more. */
+  /** Checks whether the record has no effect any more. */
   boolean isExpired(long nowMs) {
     return countAt(nowMs) == 0 && nowMs - clearedMs >= CLEARED_RETENTION_MS;
   }
 
-  /** Gives when the last crash was. */
+  /** Returns the time of the last crash. */
   long lastCrashMs() {
     return crashes.isEmpty() ? NEVER_MS : crashes.get(0).atMs();
   }
 
-  /** Says whether a run has ended well, so that others have to be told. */
+  /** Checks whether a run has succeeded, which other instances have to be notified of. */
   boolean wasCleared() {
     return clearedMs > NEVER_MS;
   }
 
   /**
-   * Tells the evidence, for the log.
+   * Describes the crashes for the log.
    *
-   * @param nowMs the time
+   * @param nowMs the current time
    * @return the crashes with their reporters and ages
    */
   public String describe(long nowMs) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecords.java
@@ -9,17 +9,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Predicate;
 
-/** The requests under which upstreams crashed, as far as this instance knows; any thread. */
+/** The crash records known to this instance; thread-safe. */
 final class CrashRecords {
 
   /**
-   * Most requests that are kept: about 400 bytes each, 1.6 MB in all. Each crash of an upstream
-   * adds the requests that it had, some tens; those with the fewest and oldest crashes go first, so
-   * a caller with thousands of such requests pushes out its own single crashes.
+   * Maximum number of records: about 400 bytes each, 1.6 MB in total. Each crash of an upstream
+   * adds the requests it was running, some tens. Records with the fewest and oldest crashes are
+   * evicted first, so a caller with thousands of such requests evicts its own records with one
+   * crash each.
    */
   private static final int MAX_RECORDS = 4_000;
 
-  /** Room is made for some at a time, as finding the least looks at all. */
+  /** Records are evicted in batches, because finding the least relevant ones scans all records. */
   private static final int EVICTION_BATCH = 200;
 
   private final Map<Fingerprint, CrashRecord> byRequest = new ConcurrentHashMap<>();
@@ -34,9 +35,9 @@
   }
 
   /**
-   * Adds what is newly known of a request.
+   * Merges a record into the known one.
    *
-   * @return the record with it
+   * @return the merged record
    */
   CrashRecord add(CrashRecord news, long nowMs) {
     CrashRecord merged = byRequest.merge(news.fingerprint(), news, CrashRecord::merge);
@@ -60,7 +61,7 @@
     byRequest.values().removeIf(record -> record.isExpired(nowMs));
   }
 
-  /** Lists the records that a test accepts, those with the newest crashes first. */
+  /** Lists the records that match a predicate, those with the newest crashes first. */
   List<CrashRecord> list(Predicate<CrashRecord> accepted, int limit) {
     return byRequest.values().stream()
         .filter(accepted)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
@@ -18,24 +18,30 @@
 import org.tinylog.Logger;
 
 /**
- * The requests that are refused, as the platform's table keeps them for processes that start.
+ * Stores the quarantined requests in the platform's table for processes that start later.
  *
- * <p>Failure: all instances lose power at the same moment, and with it what they know. Symptom: a
- * request that was refused everywhere ends three upstreams more. A row is written when a request
- * has ended its third upstream, and all rows are read once by each new process. Nothing is read or
- * written otherwise: running instances hear of it from each other sooner.
+ * <p>If all instances lose power at the same moment, they lose all crash records, and a request
+ * that was refused everywhere would crash three more upstreams. A row is written when a request has
+ * crashed its third upstream, and each new process reads all rows once. Nothing else is read or
+ * written, as running instances learn about crashes from each other sooner.
  */
 final class QuarantineTable {
 
   static final String TABLE = "quarantine";
 
-  /** Many more requests than are ever refused at a time; rows beyond are left for the next one. */
+  /**
+   * Far more requests than are ever quarantined at the same time; further rows are left to the next
+   * process.
+   */
   private static final int MAX_ROWS = 200;
 
-  /** Pause before a call that failed is made again. */
+  /** Delay before a failed call is retried. */
   private static final long RETRY_MS = 700;
 
-  /** Rows that wait to be written; more would outlive the store's absence for nothing. */
+  /**
+   * Maximum number of rows waiting to be written; more would have no use after an outage of the
+   * store.
+   */
   private static final int MAX_PENDING_SAVES = 100;
 
   private static final String INCARNATION = "incarnation-";
@@ -53,13 +59,13 @@
   private boolean saving;
 
   /**
-   * Begins to read.
+   * Creates the table and starts reading it.
    *
    * @param rows the platform's table
-   * @param storeClock the clock of its store, by which rows tell their times
-   * @param records what is known here
-   * @param found gets what the rows tell
-   * @param timers the time
+   * @param storeClock the clock of the store, in which rows hold their times
+   * @param records the records of this instance
+   * @param found called with each record read
+   * @param timers the clock
    */
   QuarantineTable(
       TableService rows,
@@ -103,10 +109,10 @@
   }
 
   /**
-   * Looks whether a row is one of these.
+   * Checks whether a row has the expected cells.
    *
-   * <p>Failure: another program has written into the table. Symptom: what cannot be read ends the
-   * reading, and the requests in the rows behind it are not refused.
+   * <p>Another program may have written into the table. A row that cannot be parsed would abort the
+   * read, and the requests in the rows after it would not be refused.
    */
   private static boolean isValid(Cells cells) {
     return isNumber(cells, HIGH)
@@ -131,7 +137,7 @@
         .filter(number -> cells.find(INCARNATION + number).isPresent());
   }
 
-  /** Writes down whether a request is refused now, once the store can be reached. */
+  /** Saves whether a request is quarantined now, as soon as the store is reachable. */
   synchronized void save(Fingerprint fingerprint) {
     if (pendingSaves.size() < MAX_PENDING_SAVES) {
       pendingSaves.add(fingerprint);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
@@ -10,21 +10,22 @@
 import java.util.function.Supplier;
 
 /**
- * What one request has to do with upstreams that ended; confined to its caller's thread.
+ * Tracks the crashes of upstreams under one request; confined to the caller's thread.
  *
  * <pre>{@code
  * suspicion.decide(caller, this::send, record -> refuse(record.retryAfterMs(timers.nowMs())));
  * }</pre>
  *
- * <p>The request's fingerprint is taken at the first need: as long as no upstream has crashed
- * anywhere, no body is read for it.
+ * <p>The fingerprint of the request is computed on first use: as long as no upstream has crashed
+ * anywhere, the body is not read for it.
  */
 public final class RequestCrashGuard {
 
   /**
-   * Upstreams that may end under one request before this instance sends it on no more by itself.
-   * Bystanders of one crash, nineteen of twenty, are sent on at once; a second crash is rarely
-   * chance, and a third upstream is left to the caller's own decision to come again.
+   * Number of crashes under one request after which this instance does not retry it by itself.
+   * Nineteen of twenty requests affected by one crash did not cause it and are retried at once. A
+   * second crash is rarely a coincidence, so whether a third upstream is risked is left to the
+   * caller, who may repeat the request.
    */
   private static final int MAX_CRASHES_RETRIED = 2;
 
@@ -35,11 +36,11 @@
   private boolean hasFailed;
 
   /**
-   * Begins without any.
+   * Creates a guard for a request without crashes.
    *
-   * @param crashes what is known of all requests
-   * @param fingerprints makes the request's fingerprint; called once at the most
-   * @param timers the time
+   * @param crashes the crashes of all requests
+   * @param fingerprints computes the request's fingerprint; called at most once
+   * @param timers the clock
    */
   public RequestCrashGuard(CrashGuard crashes, Supplier<Fingerprint> fingerprints, Timers timers) {
     this.crashes = crashes;
@@ -55,7 +56,7 @@
   }
 
   /**
-   * Gives the fingerprint if it was needed.
+   * Returns the fingerprint if it has been computed.
    *
    * @return the fingerprint, or empty
    */
@@ -68,12 +69,11 @@
   }
 
   /**
-   * Goes on with the request or refuses it, at once unless something is still being found out that
-   * decides about it.
+   * Sends or refuses the request, immediately unless the decision depends on a pending probe.
    *
-   * @param executor runs what cannot be run at once
-   * @param send goes on
-   * @param refuse refuses, with what speaks against the request
+   * @param executor runs a delayed decision
+   * @param send sends the request
+   * @param refuse refuses the request, given its crash record
    */
   public void decide(Executor executor, Runnable send, Consumer<CrashRecord> refuse) {
     CompletableFuture<Void> known = awaitProbes();
@@ -99,23 +99,23 @@
   }
 
   /**
-   * Says whether the request may be sent to no upstream, as known at this moment.
+   * Checks whether the request must not be sent to any upstream, as known at this moment.
    *
-   * @return true once enough upstreams have ended under it
+   * @return true once enough upstreams have crashed under it
    */
   public boolean isQuarantined() {
     return !crashes.isIdle() && crashes.crashCount(computeFingerprint()) >= CrashRecord.MAX_CRASHES;
   }
 
-  /** Notes an answer that was broken though its upstream goes on. */
+  /** Called when the answer was invalid although its upstream keeps running. */
   public void onInvalidAnswer() {
     hasFailed = true;
   }
 
   /**
-   * Notes that the connection to an upstream was closed or reset under the request.
+   * Called when the connection to an upstream was closed or reset while it was running the request.
    *
-   * @param upstream the upstream that had it
+   * @param upstream the upstream that was running it
    */
   public void onConnectionLost(RegisteredUpstream upstream) {
     hasFailed = true;
@@ -123,16 +123,16 @@
   }
 
   /**
-   * Notes that another process has followed the one that had the request.
+   * Called when the process that was running the request has been replaced by another one.
    *
-   * @param upstream the upstream that had it
+   * @param upstream the upstream that was running it
    */
   public void onUpstreamReplaced(RegisteredUpstream upstream) {
     hasFailed = true;
     crashes.onCrash(computeFingerprint(), upstream, timers.nowMs());
   }
 
-  /** Notes that a run of the request has ended well. */
+  /** Called when a run of the request has succeeded. */
   public void onSuccess() {
     if (!crashes.isIdle()) {
       crashes.onSuccess(computeFingerprint());
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/TerminationProbe.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/TerminationProbe.java
@@ -3,15 +3,15 @@
 import io.mothrill.core.forward.upstream.RegisteredUpstream;
 import java.util.concurrent.CompletableFuture;
 
-/** Finds out whether an upstream whose connection broke has ended. */
+/** Probes whether an upstream whose connection was lost has terminated. */
 @FunctionalInterface
 public interface TerminationProbe {
 
   /**
-   * Looks at an upstream.
+   * Probes an upstream.
    *
    * @param upstream the upstream
-   * @return true when its process has ended; false when it still answers, or nobody can tell
+   * @return true if its process has terminated; false if it still answers or the state is unknown
    */
   CompletableFuture<Boolean> hasTerminated(RegisteredUpstream upstream);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Requests under which upstreams crash: what is kept of them, when they are refused, and how all
- * instances learn of it.
+ * Requests under which upstreams crash: how crashes are recorded, when requests are quarantined,
+ * and how the records reach all instances.
  */
 package io.mothrill.core.forward.crash;
