--- a/mothrill-core/src/main/java/io/mothrill/core/forward/request/Fingerprint.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/request/Fingerprint.java
@@ -7,15 +7,15 @@
 import org.apache.commons.codec.digest.DigestUtils;
 
 /**
- * Names a request by what an upstream sees of it: equal for two requests that no upstream can tell
- * apart, whichever caller's id, instance or connection they come with.
+ * Identifies a request by what an upstream receives of it: equal for two requests that an upstream
+ * cannot distinguish, regardless of the caller's request id, the instance and the connection.
  *
  * <pre>{@code
  * Fingerprint.of("branch", "POST", "hall.example", "/form/7", body).toString();
  * }</pre>
  *
- * <p>A cryptographic hash, cut to 128 bits: with a faster one a caller could make a request that is
- * taken for another team's.
+ * <p>It is a cryptographic hash, truncated to 128 bits. With a faster hash a caller could construct
+ * a request that has the fingerprint of another team's request.
  *
  * @param high the first 64 bits
  * @param low the last 64 bits
@@ -23,14 +23,14 @@
 public record Fingerprint(long high, long low) {
 
   /**
-   * Takes the fingerprint of a request.
+   * Computes the fingerprint of a request.
    *
-   * @param team the team that pays, which upstreams are told; empty when none does. Keys of one
-   *     team are one caller, so that a changed key does not make a request a new one
+   * @param team the team that pays, which is sent to upstreams; empty if there is none. The keys of
+   *     a team share it, so a request with another key of the team is the same request
    * @param method the HTTP method
-   * @param host the host that it names
+   * @param host the requested host
    * @param target the path with its query
-   * @param body the whole body; its position stays as it is
+   * @param body the whole body; its position is not changed
    * @return the fingerprint
    */
   public static Fingerprint of(
@@ -45,14 +45,14 @@
     return new Fingerprint(hash.getLong(), hash.getLong());
   }
 
-  /** Adds a text with its length before it, so that no text can run over into the next one. */
+  /** Adds a text prefixed with its length, so that adjacent texts cannot be confused. */
   private static void update(MessageDigest digest, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, bytes.length));
     digest.update(bytes);
   }
 
-  /** Writes it as logs show it: 32 hexadecimal digits. */
+  /** Returns the form used in logs: 32 hexadecimal digits. */
   @Override
   public String toString() {
     HexFormat hex = HexFormat.of();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/request/ForwardCall.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/request/ForwardCall.java
@@ -4,16 +4,16 @@
 import java.util.OptionalLong;
 
 /**
- * One request of a caller, as far as decisions need it.
+ * The properties of a caller's request that decisions are based on.
  *
- * @param id the caller's id for this request; empty when it gave none
+ * @param id the caller's id for this request; empty if it sent none
  * @param method the HTTP method
- * @param host the host that it names, in lower case and without a port
+ * @param host the requested host, in lower case and without a port
  * @param path the path without the query
- * @param key the key that the caller has shown
- * @param deadlineMs how long the caller will wait, from now on
- * @param prompt what it says of its prompt
- * @param lastEventId the last event that the caller has seen, when it continues a stream
+ * @param key the key that the caller has sent
+ * @param deadlineMs how long the caller will wait, starting now
+ * @param prompt the properties of its prompt
+ * @param lastEventId the last event that the caller has received, if it resumes a stream
  */
 public record ForwardCall(
     String id,
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/request/ForwardRefusal.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/request/ForwardRefusal.java
@@ -3,10 +3,10 @@
 import java.util.OptionalLong;
 
 /**
- * The answer to a request that this instance gives itself.
+ * An answer that this instance generates itself instead of forwarding one from an upstream.
  *
- * @param cause why
- * @param retryAfterMs when the caller may come back, if that helps
+ * @param cause the cause
+ * @param retryAfterMs when the caller may retry, if a retry can help
  */
 public record ForwardRefusal(Cause cause, OptionalLong retryAfterMs) {
 
@@ -14,31 +14,31 @@
   public enum Cause {
     /** No plan has been read yet; the request has not run. */
     NO_PLAN(503),
-    /** No route takes the request. */
+    /** No route matches the request. */
     NO_ROUTE(404),
-    /** No team holds the key. */
+    /** No team has the key. */
     UNKNOWN_KEY(401),
-    /** The team has spent what it paid for; the request has not run. */
+    /** The team's budget is exhausted; the request has not run. */
     BUDGET_SPENT(402),
-    /** The team's tokens are at other instances for now; the request has not run. */
+    /** The team's tokens are currently held by other instances; the request has not run. */
     TOKENS_ELSEWHERE(503),
-    /** No upstream can take the request now; the request has not run. */
+    /** No upstream can accept the request now; the request has not run. */
     NO_UPSTREAM(503),
-    /** Upstreams are left only in failure domains that are being emptied; it has not run. */
+    /** The only upstreams left are in failure domains being evacuated; the request has not run. */
     EVACUATED(503),
-    /** No upstream is left in the regions that the request may go to; it has not run. */
+    /** No upstream is left in the allowed regions of the request; the request has not run. */
     OUTSIDE_HOME(503),
-    /** All upstreams that are left have asked for rest; it has not run. */
+    /** All upstreams left have requested a backoff; the request has not run. */
     RESTING(503),
-    /** All upstreams that are left have just started and bear no more; it has not run. */
+    /** All upstreams left are warming up and can handle no more; the request has not run. */
     WARMING_UP(503),
-    /** All upstreams that are left have named limits that are used up; it has not run. */
+    /** All upstreams left have announced rate limits that are used up; the request has not run. */
     LIMITED(503),
     /** All upstreams are full; the request has not run. */
     ALL_FULL(503),
-    /** The time ran out before the request was sent; it has not run. */
+    /** The deadline passed before the request was sent; the request has not run. */
     NOT_SENT_IN_TIME(503),
-    /** The request is not well formed, or could be read in two ways. */
+    /** The request is malformed or ambiguous. */
     MALFORMED(400),
     /** The body is longer than allowed. */
     BODY_TOO_LONG(413),
@@ -46,15 +46,15 @@
     HEAD_TOO_LONG(431),
     /** The head or body did not arrive in time; the request has not run. */
     SENT_TOO_SLOWLY(408),
-    /** Too many bytes of requests wait already; the request has not run. */
+    /** Too many bytes of requests are queued; the request has not run. */
     OUT_OF_MEMORY(503),
-    /** This instance is about to end; the request has not run. */
+    /** This instance is shutting down; the request has not run. */
     LEAVING(503),
-    /** Upstreams ended under requests that are the same as this one; it has not run. */
+    /** Upstreams crashed under requests identical to this one; the request has not run. */
     CRASHES_UPSTREAMS(503),
     /** The upstream failed; the request may have run. */
     UPSTREAM_FAILED(502),
-    /** No answer came in time; the request may have run. */
+    /** No answer arrived in time; the request may have run. */
     TIMED_OUT(504);
 
     private final int status;
@@ -64,18 +64,18 @@
     }
 
     /**
-     * Gives what the caller is told instead when an upstream may have worked on the request.
+     * Returns the cause to report instead if an upstream may have run the request.
      *
-     * @return a cause that promises nothing
+     * @return a cause that does not claim that the request has not run
      */
     public Cause whenPossiblyRun() {
       return this == NOT_SENT_IN_TIME ? TIMED_OUT : UPSTREAM_FAILED;
     }
 
     /**
-     * Gives the HTTP status that tells the caller.
+     * Returns the HTTP status for the caller.
      *
-     * @return a status
+     * @return the status
      */
     public int status() {
       return status;
@@ -83,9 +83,9 @@
   }
 
   /**
-   * Refuses without a time to come back.
+   * Creates a refusal without a retry time.
    *
-   * @param cause why
+   * @param cause the cause
    * @return the refusal
    */
   public static ForwardRefusal of(Cause cause) {
@@ -93,10 +93,10 @@
   }
 
   /**
-   * Refuses and says when to come back.
+   * Creates a refusal with a retry time.
    *
-   * @param cause why
-   * @param retryAfterMs when the caller may come back
+   * @param cause the cause
+   * @param retryAfterMs when the caller may retry
    * @return the refusal
    */
   public static ForwardRefusal retryAfter(Cause cause, long retryAfterMs) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/request/Prompt.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/request/Prompt.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * What a request says of its prompt.
+ * The properties of a request's prompt.
  *
- * @param model the model that it asks for
- * @param inputTokens the tokens of the prompt
- * @param maxOutputTokens the most that the answer may have
- * @param parts the parts of the prompt in order; requests may share the first ones
+ * @param model the requested model
+ * @param inputTokens the number of tokens in the prompt
+ * @param maxOutputTokens the maximum number of tokens in the answer
+ * @param parts the parts of the prompt in order; requests may share a prefix of them
  */
 public record Prompt(String model, long inputTokens, long maxOutputTokens, List<Part> parts) {
 
-  /** Takes a copy of the parts. */
+  /** Copies the parts. */
   public Prompt {
     parts = List.copyOf(parts);
   }
@@ -20,13 +20,13 @@
   /**
    * One part of a prompt.
    *
-   * @param id equal for equal text behind equal parts
-   * @param tokens its length
+   * @param id equal for parts with equal text and equal preceding parts
+   * @param tokens the number of tokens
    */
   public record Part(String id, long tokens) {}
 
   /**
-   * Gives the most that the request can cost.
+   * Returns the maximum cost of the request.
    *
    * @return the tokens of the prompt and of the longest answer
    */
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Gives the part that requests of one session or subject share.
+   * Returns the id of the prefix that requests of one session or subject share.
    *
-   * @return the last shared part's id; the first part's when there is only one
+   * @return the id of the last shared part, or of the first part if there is only one
    */
   public String sharedPrefixId() {
     if (parts.isEmpty()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/request/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/request/package-info.java
@@ -1,2 +1,2 @@
-/** Requests that are forwarded as they are, and what is decided about them. */
+/** Forwarded requests and the decisions about them. */
 package io.mothrill.core.forward.request;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/retry/RetryBounds.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/retry/RetryBounds.java
@@ -1,10 +1,10 @@
 package io.mothrill.core.forward.retry;
 
 /**
- * How many sends beyond the first a service may get from all instances together.
+ * Limits on the retries to a service from all instances together.
  *
- * @param ratio sends for each request of callers
- * @param extraCount sends that are allowed besides, in each window
+ * @param ratio the retries allowed per request of callers
+ * @param extraCount the retries allowed in addition, in each window
  * @param windowMs the length of a window
  */
 public record RetryBounds(double ratio, int extraCount, long windowMs) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/retry/SharedRetryBudget.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/retry/SharedRetryBudget.java
@@ -6,20 +6,20 @@
 import java.util.function.IntSupplier;
 
 /**
- * This instance's share of the sends beyond the first that all instances may make together.
+ * This instance's share of the retries that all instances may make together.
  *
- * <p>Failure: upstreams fail or are full, and every instance sends again. Symptom: the upstreams
- * get more and more arrivals and recover late. The instances need not talk: each takes an equal
- * part of what is allowed besides, for half a window at once and the other half over time, and half
- * of what its own requests earn, so that their sum stays below the bound in any window, also while
- * a few instances more have started than are known.
+ * <p>If every instance retried when upstreams fail or are full, the upstreams would get more and
+ * more requests and recover late. The instances do not communicate for this. Each takes an equal
+ * part of the additional retries, half of a window's amount at once and the other half over time,
+ * and half of the retries earned by its own requests. The sum stays below the limit in any window,
+ * even while a few more instances have started than are known.
  */
 public final class SharedRetryBudget {
 
-  /** Instances that may have started since they were counted, as a share of those known. */
+  /** Instances that may have started since they were counted, as a share of the known ones. */
   private static final double UNSEEN_INSTANCE_SHARE = 0.5;
 
-  /** Callers' requests at one instance and at the service are counted in windows that differ. */
+  /** Callers' requests are counted in different windows at one instance and at the service. */
   private static final double EARNED_SHARE = 0.5;
 
   private final RetryBounds bounds;
@@ -30,9 +30,9 @@
   /**
    * Creates the budget.
    *
-   * @param bounds what all instances may do together
-   * @param instanceCount how many instances are known; 0 while that is unknown
-   * @param timers the time
+   * @param bounds the limits for all instances together
+   * @param instanceCount the number of known instances; 0 while it is unknown
+   * @param timers the clock
    */
   public SharedRetryBudget(RetryBounds bounds, IntSupplier instanceCount, Timers timers) {
     this.bounds = bounds;
@@ -41,19 +41,19 @@
   }
 
   /**
-   * Counts a request of a caller.
+   * Counts a request of a caller, which earns a part of a retry.
    *
-   * @param service the service that it goes to
+   * @param service the target service
    */
   public void onRequest(String service) {
     bucketOf(service).earn(bounds.ratio() * EARNED_SHARE);
   }
 
   /**
-   * Asks for one send beyond the first.
+   * Acquires one retry.
    *
-   * @param service the service that it goes to
-   * @return true when it may be made
+   * @param service the target service
+   * @return true if the retry may be made
    */
   public boolean tryAcquire(String service) {
     return bucketOf(service).tryAcquire();
@@ -69,12 +69,12 @@
   }
 
   /**
-   * Gives the most that may be spent at once.
+   * Returns the maximum amount that may be spent at once.
    *
-   * <p>Failure: with many instances the part of each is less than one send. Symptom: no instance
-   * ever sends again, though all together may. As long as one send of each stays below half of what
-   * is allowed besides, each may save up for one; with more instances only what requests earn is
-   * spent.
+   * <p>With many instances the part of each is less than one retry, so no instance would ever retry
+   * although all together may. As long as one retry of each instance stays below half of the
+   * additional retries, each may save up for one. With more instances, only retries earned by
+   * requests are spent.
    */
   private double maxSpend() {
     double capacity = capacity();
@@ -99,7 +99,7 @@
       earned = Math.min(Math.max(1, capacity()) + amount, earned + amount);
     }
 
-    /** What requests have earned counts for one window, as it does in the bound. */
+    /** Earned retries expire over one window, as they do in the overall limit. */
     private void decayEarned() {
       long nowMs = timers.nowMs();
       earned *= Math.max(0, 1 - (nowMs - earnedMs) / (double) bounds.windowMs());
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/retry/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/retry/package-info.java
@@ -1,2 +1,2 @@
-/** How often requests may be sent again, over all instances together. */
+/** Limits on retries, over all instances together. */
 package io.mothrill.core.forward.retry;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
@@ -17,35 +17,40 @@
 import org.tinylog.Logger;
 
 /**
- * Which failure domains this instance reaches, as the other instances there show.
+ * Detects which failure domains this instance can reach, with the help of the instances there.
  *
- * <p>Failure: a domain is cut off, and its upstreams still stand in the list. Symptom: each of them
- * gets requests until one has been silent for three times its aim; what may run only once is lost
- * with it. Another instance in that domain answers within milliseconds if the way is open, so a
- * silence of half a second that is confirmed by a question shows the cut. Upstreams there are then
- * taken only when there are no others.
+ * <p>The upstreams of a partitioned failure domain are still registered. Each would get requests
+ * until one has been silent for three times its target latency, and non-idempotent requests would
+ * be lost. An instance in that domain answers within milliseconds if the domain is reachable, so
+ * half a second of silence, confirmed by a probe, shows the partition. Upstreams in the domain are
+ * then selected only if there are no others.
  *
- * <p>Whatever comes from a domain shows that the way there is open: notices of its instances, and
- * events of streams and answers of its upstreams. Questions are asked only of domains from which
- * nothing has come, and only while requests are to be placed: an instance of a large fleet serves
- * few, and asked every domain all the time it would spend a quarter of its event loop's time on
- * that. A refused connection is an answer too.
+ * <p>Everything received from a domain shows that it is reachable: notices of its instances, and
+ * stream events and answers of its upstreams. Probes are sent only to domains from which nothing
+ * was received, and only while requests are being routed: an instance of a large fleet serves few
+ * requests, and if it probed every domain all the time, it would spend a quarter of its event
+ * loop's time on that. A refused connection counts as an answer too.
  */
 public final class DomainReachability {
 
-  /** How often silence is looked for: a part of the half second that it takes to matter. */
+  /** Interval at which silence is checked; a part of the half second after which it matters. */
   private static final long CHECK_INTERVAL_MS = 200;
 
-  /** Silence after which a domain is asked: some times the pause between notices under load. */
+  /**
+   * Silence after which a domain is probed: several times the interval between notices under load.
+   */
   private static final long SILENCE_MS = 400;
 
   /** Tens of round trips between failure domains. */
   private static final long PROBE_TIMEOUT_MS = 250;
 
-  /** Asked at the same time, as a single instance may just be restarted. */
+  /** Number of instances probed at the same time, as a single one may be restarting. */
   private static final int PROBED_INSTANCES = 2;
 
-  /** Questions go on for so long after a request was placed; the next one mostly comes in it. */
+  /**
+   * Probing continues for this time after a request was routed; the next one mostly follows within
+   * it.
+   */
   private static final long IN_USE_MS = 1_000;
 
   private final InstanceRecord self;
@@ -57,12 +62,12 @@
   private volatile long lastUsedMs = Long.MIN_VALUE / 2;
 
   /**
-   * Creates the watch and begins.
+   * Creates the detector and starts it.
    *
    * @param self this instance
-   * @param others the others that are there
-   * @param links reaches them
-   * @param timers the time
+   * @param others the other running instances
+   * @param links the connections to them
+   * @param timers the clock
    */
   public DomainReachability(
       InstanceRecord self, Supplier<List<InstanceRecord>> others, PeerLinks links, Timers timers) {
@@ -73,7 +78,7 @@
     timers.every(CHECK_INTERVAL_MS, this::check);
   }
 
-  /** What is known of the way to one domain. */
+  /** The reachability of one failure domain. */
   private static final class Domain {
     private volatile long lastHeardMs;
     private volatile boolean probing;
@@ -86,13 +91,13 @@
   }
 
   /**
-   * The other instances, worked out once for as long as they stay the same.
+   * The other instances, computed once as long as they do not change.
    *
-   * @param instances all of them
-   * @param probedByDomain those of each other domain in the order in which this instance asks them,
-   *     an order of its own: few connections serve all its questions, and all instances together
-   *     ask everyone about as often
-   * @param domainByHost the domain of each by its IP address
+   * @param instances all other instances
+   * @param probedByDomain the instances of each other domain in the order in which this instance
+   *     probes them. The order differs between instances: each needs few connections for its
+   *     probes, and all instances are probed about equally often
+   * @param domainByHost the failure domain of each instance by its IP address
    */
   private record Peers(
       List<InstanceRecord> instances,
@@ -126,7 +131,7 @@
   }
 
   /**
-   * Notes that something came from an instance.
+   * Called when a message of an instance has arrived.
    *
    * @param host its IP address
    */
@@ -138,9 +143,9 @@
   }
 
   /**
-   * Notes that something came from a domain, be it from an upstream there.
+   * Called when anything has arrived from a failure domain, including from an upstream there.
    *
-   * @param domain the domain
+   * @param domain the failure domain
    */
   public void onMessageFromDomain(String domain) {
     if (!domain.equals(self.domain())) {
@@ -149,10 +154,10 @@
   }
 
   /**
-   * Says whether the way to a domain is open.
+   * Checks whether a failure domain is reachable.
    *
-   * @param domain the domain
-   * @return false once silence was confirmed; true where nobody is there to ask
+   * @param domain the failure domain
+   * @return false once a probe has confirmed silence; true if there is no instance to probe
    */
   public boolean isReachable(String domain) {
     lastUsedMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
@@ -7,36 +7,37 @@
 import org.tinylog.Logger;
 
 /**
- * Knows which upstreams have said in an answer that they leave, to this instance or another one.
+ * Tracks the upstreams that have announced in an answer, to this instance or another one, that they
+ * are leaving.
  *
- * <p>That is newer than the list, which is read from a store that may be silent. A process that
- * leaves never takes requests again.
+ * <p>An announcement is newer than the list, which is read from a store that may be unreachable. A
+ * process that is leaving never accepts requests again.
  */
 public final class LeavingUpstreams {
 
   /**
-   * An entry of the list can lapse while the store is out of reach, and be back as it was before:
-   * the leave is remembered for longer than such an outage.
+   * An entry of the upstream list can expire while the store is unreachable and return unchanged,
+   * so announcements are retained for longer than such an outage.
    */
   private static final long RETENTION_MS = 600_000;
 
   private final Timers timers;
   private final Map<String, Leave> leaves = new ConcurrentHashMap<>();
 
-  /** When it was heard of, and the requests sent since. */
+  /** The time of the announcement and the number of requests sent since. */
   private record Leave(long heardMs, AtomicLong sentCount) {}
 
   /**
-   * Creates the record; no upstream leaves at first.
+   * Creates the tracker; no upstream is leaving initially.
    *
-   * @param timers the time
+   * @param timers the clock
    */
   public LeavingUpstreams(Timers timers) {
     this.timers = timers;
   }
 
   /**
-   * Notes that an upstream leaves.
+   * Records that an upstream is leaving.
    *
    * @param upstream the upstream
    */
@@ -48,10 +49,10 @@
   }
 
   /**
-   * Says whether an upstream leaves.
+   * Checks whether an upstream is leaving.
    *
    * @param upstream the upstream
-   * @return true when it has said so
+   * @return true if it has announced that it is leaving
    */
   public boolean isLeaving(RegisteredUpstream upstream) {
     return leaves.containsKey(upstream.incarnation());
@@ -70,27 +71,27 @@
   }
 
   /**
-   * Counts the upstreams that have said so lately.
+   * Returns the number of upstreams that have recently announced that they are leaving.
    *
-   * @return a count
+   * @return the number of upstreams
    */
   public int leavingCount() {
     return leaves.size();
   }
 
   /**
-   * Counts what these upstreams got from here since.
+   * Returns the number of requests that this instance has sent to these upstreams since.
    *
-   * @return requests
+   * @return the number of requests
    */
   public long sentCount() {
     return leaves.values().stream().mapToLong(leave -> leave.sentCount().get()).sum();
   }
 
   /**
-   * Forgets upstreams that have gone long ago.
+   * Removes upstreams that are no longer registered, after the retention time.
    *
-   * @param list those that are there
+   * @param list the registered upstreams
    */
   public void retain(UpstreamList list) {
     long nowMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PlainCost.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PlainCost.java
@@ -4,13 +4,16 @@
 import java.util.function.ToDoubleFunction;
 import java.util.random.RandomGenerator;
 
-/** Cost of plain requests: how full the upstream is, and how far away. */
+/** Cost of plain requests: the utilization of the upstream and its distance. */
 public final class PlainCost implements UpstreamCost {
 
-  /** Share of an upstream's slots that another domain must be emptier by to be taken. */
+  /**
+   * An upstream in another failure domain is selected only if its utilization is lower by this
+   * share of its slots.
+   */
   private static final double OTHER_DOMAIN_PENALTY = 0.3;
 
-  /** Keeps instances that see the same reports from all taking the same upstream. */
+  /** Keeps instances that have received the same reports from all selecting the same upstream. */
   private static final double JITTER = 0.15;
 
   private final String ownDomain;
@@ -22,7 +25,7 @@
    *
    * @param ownDomain the failure domain of this instance
    * @param loads the loads of all upstreams
-   * @param random spreads choices between equal upstreams
+   * @param random distributes selections between equal upstreams
    */
   public PlainCost(String ownDomain, UpstreamLoads loads, RandomGenerator random) {
     this.ownDomain = ownDomain;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefillSpeed.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefillSpeed.java
@@ -3,29 +3,32 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Learns how fast upstreams read prompts, from the times to the first event of long ones.
+ * Estimates the prefill speed of upstreams from the times to first event of long prompts.
  *
- * <p>Most prompts wait for others, so the highest speeds seen count; they fade slowly, in case a
- * service gets slower upstreams.
+ * <p>Most prompts are queued behind others, so the highest observed speeds count. They decay slowly
+ * in case a service gets slower upstreams.
  */
 public final class PrefillSpeed {
 
-  /** Until the first long prompt was read: slow enough to avoid an upstream rather too long. */
+  /**
+   * Used until the first long prompt was read; low, so that an upstream is avoided rather too long
+   * than too briefly.
+   */
   private static final double INITIAL_TOKENS_PER_MS = 40;
 
-  /** Shorter prompts say more about the way there than about reading. */
+  /** The latency of shorter prompts is dominated by the network rather than by prefill. */
   private static final long LONG_PROMPT_TOKENS = 3_000;
 
-  /** Part that the speed loses with each long prompt: halves in about 140 of them. */
+  /** Factor applied to the speed for each long prompt; halves it in about 140 of them. */
   private static final double DECAY = 0.995;
 
   private final AtomicReference<Double> tokensPerMs = new AtomicReference<>(INITIAL_TOKENS_PER_MS);
 
   /**
-   * Notes how long an upstream took to the first event.
+   * Records the time that an upstream took until the first event.
    *
-   * @param promptTokens the tokens that it had to read
-   * @param tookMs from sending to the first event
+   * @param promptTokens the number of tokens to prefill
+   * @param tookMs the time from sending to the first event
    */
   public void onPrefill(long promptTokens, long tookMs) {
     if (promptTokens >= LONG_PROMPT_TOKENS) {
@@ -35,9 +38,9 @@
   }
 
   /**
-   * Gives the speed.
+   * Returns the estimated speed.
    *
-   * @return tokens in a millisecond
+   * @return tokens per millisecond
    */
   public double tokensPerMs() {
     return tokensPerMs.get();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefixCacheEstimator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefixCacheEstimator.java
@@ -9,55 +9,58 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Estimates which upstream keeps which shared parts of prompts in its memory.
+ * Estimates which prompt prefixes are in the prefix caches of which upstreams.
  *
- * <p>Each subject has one home among the upstreams, the same at every instance, so instances send
- * equal beginnings to the same upstream without talking to each other. What this instance has sent
- * elsewhere counts as well, for a while.
+ * <p>Rendezvous hashing assigns each shared prefix to the same preferred upstream at every
+ * instance, so instances send prompts with equal prefixes to the same upstream without
+ * communication. Prompts that this instance has sent elsewhere count too, for a while.
  */
 public final class PrefixCacheEstimator {
 
-  /** How long a sent prompt is taken to be kept; engines drop the least recently used parts. */
+  /**
+   * How long a sent prompt is assumed to stay cached; engines evict the least recently used parts.
+   */
   private static final long RETENTION_MS = 20_000;
 
   /**
-   * Share of the shared parts that a home is taken to keep when this instance has not sent them.
+   * Share of the prefix assumed to be cached at the preferred upstream if this instance has not
+   * sent it.
    */
   private static final double FIRST_CACHED_SHARE = 0.85;
 
-  /** The same for the second home, which gets what the first is too busy for. */
+  /** The same for the second choice, which gets prompts that the first is too busy for. */
   private static final double SECOND_CACHED_SHARE = 0.3;
 
-  /** Subjects remembered for each upstream: some hundred bytes each. */
+  /** Maximum number of prefixes stored per upstream: some hundred bytes each. */
   private static final int MAX_PREFIXES = 2_048;
 
   private final Map<String, Map<String, Long>> sentAtMs = new ConcurrentHashMap<>();
 
   /**
-   * Notes that an upstream reads a prompt.
+   * Records that an upstream reads a prompt.
    *
    * @param prompt the prompt
-   * @param incarnation the start of the upstream that it is sent to
-   * @param nowMs the time
+   * @param incarnation the incarnation of the upstream that it is sent to
+   * @param nowMs the current time
    */
   public void onSent(Prompt prompt, String incarnation, long nowMs) {
     sentAtMs.computeIfAbsent(incarnation, name -> newLruMap()).put(prompt.sharedPrefixId(), nowMs);
   }
 
   /**
-   * The upstreams that instances send a subject to, as long as they are not too busy.
+   * The upstreams to which instances send prompts with a certain prefix unless these are too busy.
    *
-   * @param first the id of the one that is preferred
-   * @param second the id of the next one; empty when there is only one
+   * @param first the id of the preferred upstream
+   * @param second the id of the second choice; empty if there is only one upstream
    */
   public record PreferredUpstreams(String first, String second) {}
 
   /**
-   * Finds the homes of a prompt's subject.
+   * Finds the preferred upstreams for a prompt's prefix.
    *
    * @param prompt the prompt
-   * @param upstreams all upstreams that take requests of the service
-   * @return the homes
+   * @param upstreams all upstreams that accept requests of the service
+   * @return the preferred upstreams
    */
   public PreferredUpstreams preferredUpstreams(Prompt prompt, List<RegisteredUpstream> upstreams) {
     String first = "";
@@ -80,13 +83,13 @@
   }
 
   /**
-   * Estimates what an upstream would have to read.
+   * Estimates the number of tokens that an upstream would have to prefill.
    *
    * @param prompt the prompt
    * @param upstream the upstream
-   * @param homes the homes of the prompt's subject
-   * @param nowMs the time
-   * @return tokens
+   * @param homes the preferred upstreams for the prompt's prefix
+   * @param nowMs the current time
+   * @return the number of tokens
    */
   public double uncachedTokens(
       Prompt prompt, RegisteredUpstream upstream, PreferredUpstreams homes, long nowMs) {
@@ -96,12 +99,14 @@
   }
 
   /**
-   * Estimates what an upstream has to read for a prompt that is about to be sent to it.
+   * Estimates the number of tokens that an upstream has to prefill for a prompt about to be sent to
+   * it.
    *
    * @param prompt the prompt
-   * @param incarnation the start of the upstream that it is sent to
-   * @param nowMs the time
-   * @return tokens; all of the prompt unless this instance has sent its like there lately
+   * @param incarnation the incarnation of the upstream that it is sent to
+   * @param nowMs the current time
+   * @return the number of tokens; the whole prompt unless this instance has recently sent one with
+   *     the same prefix there
    */
   public long uncachedTokens(Prompt prompt, String incarnation, long nowMs) {
     return wasSent(prompt, incarnation, nowMs)
@@ -117,9 +122,9 @@
   }
 
   /**
-   * Forgets upstreams that have gone.
+   * Removes upstreams that are no longer registered.
    *
-   * @param list those that are there
+   * @param list the registered upstreams
    */
   public void retain(UpstreamList list) {
     sentAtMs.keySet().removeIf(incarnation -> !list.containsIncarnation(incarnation));
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptCost.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptCost.java
@@ -5,33 +5,37 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Cost of prompts, in tokens that have to be read.
+ * Cost of prompts, in tokens to prefill.
  *
- * <p>What the upstream does not keep of the prompt has to be read in any case and counts in full.
- * Prompts that wait to be read there count for little as long as this one is in time behind them,
- * and for much once it would be late: a prompt goes elsewhere to be in time, not to be first.
+ * <p>The part of the prompt that is not in the upstream's prefix cache has to be read in any case
+ * and counts fully. Prompts queued there have a low weight as long as this one meets its target
+ * latency behind them and a high one once it would be late: a prompt is sent elsewhere to be in
+ * time, not to be first.
  */
 public final class PromptCost implements UpstreamCost {
 
-  /** Typical prompt, for the requests of other instances that wait at an upstream. */
+  /** Typical prompt length, for requests of other instances queued at an upstream. */
   private static final double TYPICAL_PROMPT_TOKENS = 4_000;
 
-  /** Weight of a wait that does no harm, so that equal choices go to the emptier upstream. */
+  /**
+   * Weight of a wait within the target, so that between equal upstreams the emptier one is
+   * selected.
+   */
   private static final double TIMELY_WAIT_WEIGHT = 0.3;
 
   /** Weight of the part of a wait that makes the answer late. */
   private static final double LATE_WAIT_WEIGHT = 4;
 
-  /** Part of the aim that may pass before the first event; estimates are rough. */
+  /** Part of the target latency that may pass before the first event, as estimates are rough. */
   private static final double TARGET_SHARE = 0.5;
 
-  /** A running request slows each step of the others a little, compared with reading a prompt. */
+  /** Each running request slows down the steps of the others slightly, compared with a prefill. */
   private static final double RUNNING_TOKENS = 60;
 
-  /** What each request beyond an upstream's slots costs: it would have to wait. */
+  /** Cost of each request beyond an upstream's slots, which would have to wait. */
   private static final double OVERFULL_TOKENS = 3_000;
 
-  /** Bytes that cross failure domains are worth a small detour, not a prompt read again. */
+  /** Avoiding traffic between failure domains justifies a small detour, but not another prefill. */
   private static final double OTHER_DOMAIN_TOKENS = 200;
 
   private final String ownDomain;
@@ -44,8 +48,8 @@
    *
    * @param ownDomain the failure domain of this instance
    * @param loads the loads of all upstreams
-   * @param memory which upstream is likely to keep which parts
-   * @param speed how fast upstreams read
+   * @param memory estimates which prefixes an upstream has cached
+   * @param speed the prefill speed of upstreams
    */
   public PromptCost(
       String ownDomain, UpstreamLoads loads, PrefixCacheEstimator memory, PrefillSpeed speed) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptNoticeSender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptNoticeSender.java
@@ -1,14 +1,14 @@
 package io.mothrill.core.forward.upstream;
 
-/** Tells other instances which upstreams have long prompts to read; a lost notice does no harm. */
+/** Notifies other instances of long prompts sent to upstreams; a lost notice does no harm. */
 @FunctionalInterface
 public interface PromptNoticeSender {
 
   /**
-   * Tells that a prompt was sent.
+   * Sends a notice about a prompt.
    *
-   * @param incarnation the start of the upstream that reads it
-   * @param unreadTokens what it probably has to read
+   * @param incarnation the incarnation of the upstream that reads it
+   * @param unreadTokens the estimated number of tokens to prefill
    */
   void send(String incarnation, long unreadTokens);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegisteredUpstream.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegisteredUpstream.java
@@ -3,19 +3,19 @@
 import java.util.OptionalLong;
 
 /**
- * One upstream, as it has registered itself.
+ * An upstream as registered by itself.
  *
- * @param id its name; a process that starts again may keep it, and an address may pass on to
- *     another upstream
+ * @param id its id; a restarted process may keep it, and an address may be reused by another
+ *     upstream
  * @param service the service that it belongs to
  * @param host its IP address
  * @param port its TCP port
  * @param domain its failure domain
- * @param slots how many requests it works on at once
- * @param leaving true once it must get nothing new
- * @param warmUpRemainingMs how much longer it warms up, from when this was said; empty when it does
- *     not say so
- * @param registrationVersion when this was said
+ * @param slots the number of requests that it runs concurrently
+ * @param leaving true once it must not get new requests
+ * @param warmUpRemainingMs the remaining warm-up time at the time of this registration; empty if
+ *     not reported
+ * @param registrationVersion the version of this registration
  */
 public record RegisteredUpstream(
     String id,
@@ -31,19 +31,19 @@
   private static final char SEPARATOR = '@';
 
   /**
-   * Names this start of the upstream. All that is believed of an upstream is kept under this name,
-   * so that nothing of it is believed of a later process with the same id.
+   * Returns the name of this incarnation of the upstream. All state about an upstream is kept under
+   * this name, so that none of it is applied to a later process with the same id.
    *
-   * @return the id and when the process was started
+   * @return the id and the start time of the process
    */
   public String incarnation() {
     return id + SEPARATOR + registrationVersion.startedMs();
   }
 
   /**
-   * Gives the id in the name of a start.
+   * Returns the id in the name of an incarnation.
    *
-   * @param incarnation what {@link #incarnation()} gave
+   * @param incarnation a result of {@link #incarnation()}
    * @return the upstream's id
    */
   static String idOf(String incarnation) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegistrationVersion.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegistrationVersion.java
@@ -3,20 +3,20 @@
 import java.util.Comparator;
 
 /**
- * When an upstream said something of itself: its newest word counts.
+ * The version of a registration of an upstream; the newest one counts.
  *
  * <pre>{@code
- * UpstreamWord before = new UpstreamWord(1_700_000_000_000L, 4);
- * before.isOlderThan(new UpstreamWord(1_700_000_060_000L, 1)); // true: another start
+ * RegistrationVersion before = new RegistrationVersion(1_700_000_000_000L, 4);
+ * before.isOlderThan(new RegistrationVersion(1_700_000_060_000L, 1)); // true: the process restarted
  * }</pre>
  *
- * @param startedMs the start of its process in Unix milliseconds; 0 when it does not say so
- * @param sequence counts what the process has said since its start
+ * @param startedMs the start time of the process in Unix milliseconds; 0 if it is not reported
+ * @param sequence the number of registrations by the process since its start
  */
 public record RegistrationVersion(long startedMs, long sequence)
     implements Comparable<RegistrationVersion> {
 
-  /** The word of an upstream that tells neither. */
+  /** The version of an upstream that reports neither value. */
   public static final RegistrationVersion UNKNOWN = new RegistrationVersion(0, 0);
 
   private static final Comparator<RegistrationVersion> ORDER =
@@ -24,10 +24,10 @@
           .thenComparingLong(RegistrationVersion::sequence);
 
   /**
-   * Compares with another word of the same upstream.
+   * Compares with another registration of the same upstream.
    *
-   * @param other the other word
-   * @return true when this one was said earlier, maybe by an earlier process
+   * @param other the other version
+   * @return true if this one is older, possibly from an earlier process
    */
   public boolean isOlderThan(RegistrationVersion other) {
     return compareTo(other) < 0;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/StaleRegistrationFilter.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/StaleRegistrationFilter.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * Remembers the newest word of each upstream, so that an older one that arrives late changes
- * nothing.
+ * Tracks the newest registration of each upstream, so that an older one that arrives late has no
+ * effect.
  *
- * <p>Failure: an upstream starts again under its id, and a report that its earlier process had sent
- * is written after that. Symptom: requests go to an address where nobody listens any more, or to an
- * upstream that has already said that it leaves. An older word is therefore replaced by the newest
- * one as long as the upstream is in the list, and counts for nothing afterwards.
+ * <p>When an upstream restarts under its id, a registration sent by its earlier process may be
+ * written after that. Requests would then go to an address where no process listens any more, or to
+ * an upstream that has already announced that it is leaving. An older registration is therefore
+ * replaced by the newest one as long as the upstream is in the list, and ignored afterwards.
  */
 public final class StaleRegistrationFilter {
 
-  /** Twice the upstreams that one fleet is designed for; some hundred bytes each. */
+  /** Twice the number of upstreams that a fleet is designed for; some hundred bytes each. */
   private static final int MAX_UPSTREAMS = 20_000;
 
   private final Map<String, RegistrationVersion> newest =
@@ -30,11 +30,11 @@
       };
 
   /**
-   * Puts the newest known words in place of older ones.
+   * Replaces stale registrations by the newest known ones.
    *
    * @param read the list as it was read
-   * @param before the list before it
-   * @return the list without older words
+   * @param before the previous list
+   * @return the list without stale registrations
    */
   public synchronized UpstreamList replaceStale(UpstreamList read, UpstreamList before) {
     List<RegisteredUpstream> current =
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
@@ -7,9 +7,9 @@
 import org.tinylog.Logger;
 
 /**
- * Knows which upstreams have asked this instance to send them nothing for a time.
+ * Tracks the upstreams that have requested a backoff from this instance.
  *
- * <p>An upstream asks each instance for itself, so the others are not told.
+ * <p>An upstream requests a backoff from each instance separately, so it is not broadcast.
  */
 public final class UpstreamBackoffs {
 
@@ -18,20 +18,20 @@
   private final AtomicLong sentCount = new AtomicLong();
 
   /**
-   * Creates the record; no upstream rests at first.
+   * Creates the tracker; initially no upstream has requested a backoff.
    *
-   * @param timers the time
+   * @param timers the clock
    */
   public UpstreamBackoffs(Timers timers) {
     this.timers = timers;
   }
 
   /**
-   * Notes that an upstream wants nothing for a time. A longer time that it has asked for before
-   * stands.
+   * Called when an upstream has requested a backoff. A longer backoff requested before stays in
+   * effect.
    *
    * @param upstream the upstream
-   * @param restMs how long
+   * @param restMs the length of the backoff
    */
   public void onBackoffRequested(RegisteredUpstream upstream, long restMs) {
     boolean rests = isBackingOff(upstream);
@@ -42,20 +42,20 @@
   }
 
   /**
-   * Says whether an upstream rests.
+   * Checks whether a backoff is in effect for an upstream.
    *
    * @param upstream the upstream
-   * @return true when it is to get nothing now
+   * @return true if it must not get requests now
    */
   public boolean isBackingOff(RegisteredUpstream upstream) {
     return remainingMs(upstream) > 0;
   }
 
   /**
-   * Says how much longer an upstream rests.
+   * Returns the remaining backoff of an upstream.
    *
    * @param upstream the upstream
-   * @return milliseconds; 0 when it does not
+   * @return milliseconds; 0 if no backoff is in effect
    */
   public long remainingMs(RegisteredUpstream upstream) {
     Long until = untilMs.get(upstream.incarnation());
@@ -74,9 +74,9 @@
   }
 
   /**
-   * Counts the upstreams that rest.
+   * Returns the number of upstreams with a backoff in effect.
    *
-   * @return a count
+   * @return the number of upstreams
    */
   public long backoffCount() {
     long nowMs = timers.nowMs();
@@ -84,18 +84,18 @@
   }
 
   /**
-   * Counts what upstreams got from here while they rested.
+   * Returns the number of requests that this instance has sent to upstreams during their backoffs.
    *
-   * @return requests since the start
+   * @return the number of requests since the start
    */
   public long sentCount() {
     return sentCount.get();
   }
 
   /**
-   * Forgets rests that are over, and those of processes that have been followed by others.
+   * Removes expired backoffs and those of processes that have been replaced.
    *
-   * @param list the upstreams that are there
+   * @param list the registered upstreams
    */
   public void retain(UpstreamList list) {
     long nowMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamFilter.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamFilter.java
@@ -1,16 +1,16 @@
 package io.mothrill.core.forward.upstream;
 
-/** Says to which upstreams a request may be sent at all; costs decide among those. */
+/** Determines to which upstreams a request may be sent at all; costs decide between those. */
 @FunctionalInterface
 public interface UpstreamFilter {
 
   /**
-   * Asks about one upstream.
+   * Checks one upstream.
    *
    * @param upstream the upstream
    * @param query the request
-   * @param nowMs the time
-   * @return true when nothing forbids to send it there now
+   * @param nowMs the current time
+   * @return true if the request may be sent to it now
    */
   boolean permits(RegisteredUpstream upstream, UpstreamQuery query, long nowMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamList.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** All registered upstreams at one moment; immutable. */
+/** A snapshot of all registered upstreams; immutable. */
 public final class UpstreamList {
 
   private static final UpstreamList EMPTY = new UpstreamList(List.of());
@@ -20,7 +20,7 @@
   /**
    * Creates a list.
    *
-   * @param upstreams the upstreams, each with an id of its own
+   * @param upstreams the upstreams, with unique ids
    */
   public UpstreamList(Collection<RegisteredUpstream> upstreams) {
     this.byId = new HashMap<>();
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Gives the list before any was read.
+   * Returns the list in use before any was read.
    *
    * @return a list without upstreams
    */
@@ -41,68 +41,68 @@
   }
 
   /**
-   * Says whether a list was ever read.
+   * Checks whether a list has been read.
    *
-   * @return false for {@link #empty()} only; a list that was read may have no upstreams
+   * @return false only for {@link #empty()}; a list that was read may have no upstreams
    */
   public boolean isKnown() {
     return this != EMPTY;
   }
 
   /**
-   * Compares with another list.
+   * Compares the content with another list.
    *
    * @param other the other list
-   * @return true when both were read and say the same of the same upstreams
+   * @return true if both were read and contain equal upstreams
    */
   public boolean hasSameContent(UpstreamList other) {
     return isKnown() && other.isKnown() && byId.equals(other.byId);
   }
 
   /**
-   * Lists the upstreams of a service that take new requests.
+   * Lists the upstreams of a service that accept new requests.
    *
    * @param service the service's name
-   * @return those that are not leaving
+   * @return the upstreams that are not leaving
    */
   public List<RegisteredUpstream> acceptingFor(String service) {
     return acceptingByService.getOrDefault(service, List.of());
   }
 
   /**
-   * Lists everyone.
+   * Lists all upstreams.
    *
-   * @return all upstreams, leaving ones too
+   * @return all upstreams, including those that are leaving
    */
   public Collection<RegisteredUpstream> all() {
     return byId.values();
   }
 
   /**
-   * Looks for an upstream.
+   * Checks whether an upstream is registered.
    *
    * @param id its id
-   * @return true when it is in the list
+   * @return true if it is in the list
    */
   public boolean contains(String id) {
     return byId.containsKey(id);
   }
 
   /**
-   * Looks for an upstream by its id.
+   * Finds an upstream by its id.
    *
    * @param id its id
-   * @return the upstream as it was last heard of
+   * @return the upstream, if it is in the list
    */
   public Optional<RegisteredUpstream> find(String id) {
     return Optional.ofNullable(byId.get(id));
   }
 
   /**
-   * Looks for one start of an upstream.
+   * Checks whether an incarnation of an upstream is registered.
    *
-   * @param incarnation what {@link RegisteredUpstream#incarnation()} gave
-   * @return true when that process is in the list
+   * @param incarnation a result of {@link RegisteredUpstream#incarnation()}
+   * @return true if that process is in the list
    */
   public boolean containsIncarnation(String incarnation) {
     return find(RegisteredUpstream.idOf(incarnation))
@@ -111,10 +111,10 @@
   }
 
   /**
-   * Says whether an upstream is still there and takes requests.
+   * Checks whether an upstream is still registered and accepts requests.
    *
-   * @param upstream the upstream as it was known when it was chosen
-   * @return true when the list has the same start of it and it does not leave
+   * @param upstream the upstream as it was when selected
+   * @return true if the list contains the same incarnation and it is not leaving
    */
   public boolean isAccepting(RegisteredUpstream upstream) {
     return find(upstream.id())
@@ -124,10 +124,10 @@
   }
 
   /**
-   * Says whether a process has been followed by another one with the same id.
+   * Checks whether a process has been replaced by another one with the same id.
    *
-   * @param incarnation what {@link RegisteredUpstream#incarnation()} gave for the earlier process
-   * @return true when the list shows a later start
+   * @param incarnation a result of {@link RegisteredUpstream#incarnation()} for the earlier process
+   * @return true if the list contains another incarnation
    */
   public boolean isReplaced(String incarnation) {
     return contains(RegisteredUpstream.idOf(incarnation)) && !containsIncarnation(incarnation);
@@ -136,7 +136,8 @@
   /**
    * Adds upstreams of an earlier list that this one lacks.
    *
-   * <p>One whose address has passed on to another upstream is left out: it is surely gone.
+   * <p>Those whose address is used by another upstream now are left out: they have certainly
+   * terminated.
    *
    * @param earlier the earlier list
    * @return a list with both
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoad.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoad.java
@@ -6,16 +6,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What this instance knows of one upstream's load and health; any thread may use it. */
+/** The load and health of one upstream as known to this instance; thread-safe. */
 public final class UpstreamLoad {
 
-  /** How long a reported load counts: reports are some hundred milliseconds old when they come. */
+  /** How long a load report counts; reports are some hundred milliseconds old when they arrive. */
   private static final long REPORT_DECAY_MS = 1_500;
 
-  /** First time of avoidance after a failure; doubles with each further one. */
+  /** Time for which an upstream is avoided after a failure; doubles with each further one. */
   private static final long INITIAL_AVOID_MS = 500;
 
-  /** Longest avoidance, so that an upstream that came back is found within seconds. */
+  /** Maximum time of avoidance, so that a recovered upstream is used again within seconds. */
   private static final long MAX_AVOID_MS = 4_000;
 
   private static final int MAX_DOUBLINGS = 3;
@@ -40,9 +40,9 @@
   private record LoadReport(int running, int waiting, long atMs) {}
 
   /**
-   * Counts a request that is sent.
+   * Called when a request is sent.
    *
-   * @param promptTokens the tokens that the upstream has to read for it
+   * @param promptTokens the number of tokens to prefill for it
    */
   public void onSent(long promptTokens) {
     inFlightCount.incrementAndGet();
@@ -50,20 +50,20 @@
   }
 
   /**
-   * Notes that a prompt has been read: the first event has come, or the request has ended.
+   * Called when a prompt has been read: the first event has arrived, or the request has ended.
    *
-   * @param promptTokens as when it was sent
+   * @param promptTokens the value passed when it was sent
    */
   public void onPrefillDone(long promptTokens) {
     pendingPrefillTokens.addAndGet(-promptTokens);
   }
 
   /**
-   * Takes notice of a prompt that another instance has sent to the upstream.
+   * Called when another instance has sent a prompt to the upstream.
    *
-   * @param promptTokens the tokens that the upstream has to read for it
-   * @param tokensPerMs how fast it reads
-   * @param nowMs the time
+   * @param promptTokens the number of tokens to prefill for it
+   * @param tokensPerMs the prefill speed
+   * @param nowMs the current time
    */
   public synchronized void onPromptNotice(long promptTokens, double tokensPerMs, long nowMs) {
     promptBacklog =
@@ -71,21 +71,21 @@
   }
 
   /**
-   * Asks to be told when another process has followed this one.
+   * Registers a listener for the replacement of this process by another one.
    *
-   * <p>Failure: an upstream crashes and starts again under its id and address, and the way to it is
-   * silent. Symptom: its callers wait for an answer that nobody works on. They are told with the
-   * first list that shows the new process.
+   * <p>If an upstream crashes and restarts under its id and address while the connection is
+   * stalled, its callers would wait for an answer that will never come. The listener is called with
+   * the first list that contains the new process.
    *
-   * @param watcher called once at the most, on the thread that reads the list; must not block
-   * @return a handle to end with
+   * @param watcher called at most once, on the thread that reads the list; must not block
+   * @return a handle to remove the listener
    */
   public Subscription onReplaced(Runnable watcher) {
     replacementListeners.add(watcher);
     return () -> replacementListeners.remove(watcher);
   }
 
-  /** Tells all who have asked that another process has followed this one. */
+  /** Notifies all listeners that another process has replaced this one. */
   void notifyReplaced() {
     for (Runnable watcher : replacementListeners) {
       if (replacementListeners.remove(watcher)) {
@@ -94,35 +94,35 @@
     }
   }
 
-  /** Counts a request that has ended. */
+  /** Called when a request has ended. */
   public void onRequestEnded() {
     inFlightCount.decrementAndGet();
   }
 
   /**
-   * Takes what the upstream said of its load.
+   * Called when the upstream has reported its load.
    *
-   * @param running requests that it works on
-   * @param waiting requests that wait at it
-   * @param nowMs the time
+   * @param running the number of requests it is running
+   * @param waiting the number of requests queued at it
+   * @param nowMs the current time
    */
   public void onReport(int running, int waiting, long nowMs) {
     report = new LoadReport(running, waiting, nowMs);
   }
 
-  /** Notes an answer in full: what failed before is over. */
+  /** Called after a complete answer; resets earlier failures. */
   public void onSuccess() {
     failureStreak.set(0);
   }
 
   /**
-   * Notes a failure: a broken, silent or refused connection, or a false answer.
+   * Called after a failure: a broken, stalled or refused connection, or an invalid answer.
    *
-   * <p>Failure: an upstream that is dead or cut off still stands in the list for seconds. Symptom:
-   * every request sent to it is lost or late. It is avoided for a time that doubles, and then tried
-   * by single requests again, so that a sound one is not lost for long.
+   * <p>An upstream that has crashed or is partitioned stays in the list for seconds, and every
+   * request sent to it is lost or late. It is avoided for a time that doubles with each failure,
+   * and then probed with single requests, so that a healthy upstream is not avoided for long.
    *
-   * @param nowMs the time
+   * @param nowMs the current time
    */
   public void onFailure(long nowMs) {
     int streak = failureStreak.incrementAndGet();
@@ -131,50 +131,52 @@
   }
 
   /**
-   * Notes that the upstream was full.
+   * Avoids the upstream for a time, for example because it is full.
    *
-   * @param nowMs the time
-   * @param avoidMs how long it is to be avoided
+   * @param nowMs the current time
+   * @param avoidMs the time to avoid it for
    */
   public void avoidFor(long nowMs, long avoidMs) {
     avoidUntilMs = Math.max(avoidUntilMs, nowMs + avoidMs);
   }
 
   /**
-   * Says whether the upstream is avoided for now.
+   * Checks whether the upstream is currently avoided.
    *
-   * @param nowMs the time
-   * @return true after failures
+   * @param nowMs the current time
+   * @return true if it is to be avoided
    */
   public boolean isAvoided(long nowMs) {
     return nowMs < avoidUntilMs;
   }
 
   /**
-   * Gives the own requests under way.
+   * Returns the number of this instance's requests in flight.
    *
-   * @return a count
+   * @return the number of requests
    */
   public int inFlightCount() {
     return inFlightCount.get();
   }
 
   /**
-   * Estimates the prompt tokens that the upstream still has to read, for all instances.
+   * Estimates the number of prompt tokens that the upstream still has to prefill, for all
+   * instances.
    *
-   * @param tokensPerMs how fast it reads
-   * @param nowMs the time
-   * @return tokens
+   * @param tokensPerMs the prefill speed
+   * @param nowMs the current time
+   * @return the number of tokens
    */
   public double pendingPrefillTokens(double tokensPerMs, long nowMs) {
     return pendingPrefillTokens.get() + promptBacklog.remainingAt(nowMs, tokensPerMs);
   }
 
   /**
-   * Estimates all requests at the upstream, those of other instances from its last report.
+   * Estimates the number of requests at the upstream; those of other instances are taken from its
+   * last report.
    *
-   * @param nowMs the time
-   * @return a count
+   * @param nowMs the current time
+   * @return the number of requests
    */
   public double estimatedCount(long nowMs) {
     LoadReport last = report;
@@ -184,10 +186,10 @@
   }
 
   /**
-   * Estimates the requests that wait at the upstream.
+   * Estimates the number of requests queued at the upstream.
    *
-   * @param nowMs the time
-   * @return a count, fading with the age of the report
+   * @param nowMs the current time
+   * @return the number of requests, decaying with the age of the report
    */
   public double estimatedQueued(long nowMs) {
     LoadReport last = report;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoads.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoads.java
@@ -3,15 +3,15 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The loads of all upstreams; a process that starts again under its id begins without any. */
+/** The loads of all upstreams; a process that restarts under its id starts without a load. */
 public final class UpstreamLoads {
 
   private final Map<String, UpstreamLoad> loads = new ConcurrentHashMap<>();
 
   /**
-   * Finds the load of an upstream, with none of it known at first.
+   * Returns the load of an upstream, which is empty at first.
    *
-   * @param incarnation what {@link RegisteredUpstream#incarnation()} gives
+   * @param incarnation a result of {@link RegisteredUpstream#incarnation()}
    * @return its load
    */
   public UpstreamLoad of(String incarnation) {
@@ -19,10 +19,10 @@
   }
 
   /**
-   * Forgets upstreams that have gone and have nothing under way, and tells requests that are under
-   * way at a process that another one has followed.
+   * Removes upstreams that are no longer registered and have no requests in flight, and notifies
+   * requests in flight at a process that has been replaced.
    *
-   * @param list those that are there
+   * @param list the registered upstreams
    */
   public void retain(UpstreamList list) {
     loads.entrySet().stream()
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 
 /**
- * Picks the upstream with the least cost among those that take requests.
+ * Selects the upstream with the lowest cost among those that accept requests.
  *
  * <pre>{@code
- * Optional<ServingUpstream> upstream = picker.pick(new UpstreamQuery("sira", prompt, tried));
+ * Optional<RegisteredUpstream> upstream = picker.pick(new UpstreamQuery("sira", prompt, tried));
  * }</pre>
  */
 public final class UpstreamPicker {
@@ -34,10 +34,10 @@
    * @param loads their loads
    * @param plainCost the cost of plain requests
    * @param promptCost the cost of requests with a prompt
-   * @param filter says which upstreams a request may be sent to
-   * @param warming says of an upstream whether it warms up
-   * @param reachedDomains says of a failure domain whether the way there is open
-   * @param timers the time
+   * @param filter determines to which upstreams a request may be sent
+   * @param warming checks whether an upstream is warming up
+   * @param reachedDomains checks whether a failure domain is reachable
+   * @param timers the clock
    */
   public UpstreamPicker(
       PublishedValue<UpstreamList> list,
@@ -59,13 +59,13 @@
   }
 
   /**
-   * Picks an upstream.
+   * Selects an upstream.
    *
-   * <p>Upstreams that warm up, that failed lately, or in domains that are cut off, are taken only
-   * when there is no other, in this order.
+   * <p>Upstreams that are warming up, that failed recently or that are in partitioned failure
+   * domains are selected only if there is no other, in this order.
    *
    * @param query the request
-   * @return the upstream, or empty when none is left
+   * @return the upstream, or empty if none is left
    */
   public Optional<RegisteredUpstream> pick(UpstreamQuery query) {
     long nowMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
@@ -7,15 +7,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What a choice of an upstream is made for.
+ * The request that an upstream is selected for.
  *
- * @param service the service that the request goes to
- * @param targetLatencyMs the time to the answer, or to a stream's first event, that callers hope
- *     for
- * @param prompt what is known of its prompt; empty for plain requests
- * @param allowedRegions the regions in which it may be worked on
- * @param tried the starts of upstreams that it was already offered to
- * @param eligibility what of the request itself decides whether it may still be sent
+ * @param service the target service
+ * @param targetLatencyMs the target time to the answer, or to the first event of a stream
+ * @param prompt the properties of its prompt; empty for plain requests
+ * @param allowedRegions the regions in which it may be processed
+ * @param tried the incarnations of upstreams already tried
+ * @param eligibility the state of the request that determines whether it may still be sent
  */
 public record UpstreamQuery(
     String service,
@@ -25,24 +24,25 @@
     Set<String> tried,
     Eligibility eligibility) {
 
-  /** Takes a copy of the names. */
+  /** Copies the names. */
   public UpstreamQuery {
     tried = Set.copyOf(tried);
   }
 
   /**
-   * What of a request decides whether it may still be sent, whatever the upstream.
+   * The state of a request that determines whether it may still be sent, independent of the
+   * upstream.
    *
    * @param deadlineMs when its caller must have the answer
-   * @param tokensReserved whether tokens are set aside for it, or it needs none
-   * @param quarantined whether too many upstreams have ended under it
+   * @param tokensReserved whether tokens are reserved for it, or it needs none
+   * @param quarantined whether too many upstreams have crashed under it
    */
   public record Eligibility(long deadlineMs, boolean tokensReserved, BooleanSupplier quarantined) {
 
     /**
-     * Gives the standing of a request that nothing speaks against.
+     * Returns the state of a request that may be sent without restriction.
      *
-     * @return paid, without an end, and innocent
+     * @return tokens reserved, no deadline and not quarantined
      */
     public static Eligibility unrestricted() {
       return new Eligibility(Long.MAX_VALUE, true, () -> false);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatus.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatus.java
@@ -1,17 +1,17 @@
 package io.mothrill.core.forward.upstream;
 
-/** What an instance has found out about an upstream that still stands in the list. */
+/** The detected status of an upstream that is still in the list. */
 public enum UpstreamStatus {
-  /** It says itself that it leaves: it never takes requests again. */
+  /** It has announced that it is leaving: it never accepts requests again. */
   LEAVING,
-  /** Another upstream answers at its address: this one never comes back under its name. */
+  /** Another upstream answers at its address: this one never returns under its id. */
   REPLACED,
-  /** Its machine refuses connections: the process has ended, and may start again. */
+  /** Its host refuses connections: the process has terminated and may restart. */
   ENDED,
-  /** Nothing answers: the process, its machine or the way there may be down. */
+  /** No answer: the process, its host or the network may be down. */
   UNREACHABLE;
 
-  /** Says whether it never takes requests again under its name. */
+  /** Checks whether it never accepts requests again under its id. */
   boolean isFinal() {
     return this == LEAVING || this == REPLACED;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
@@ -13,30 +13,33 @@
 import org.tinylog.Logger;
 
 /**
- * Lets instances know of upstreams that others have found ended, replaced or out of reach.
+ * Broadcasts upstreams that an instance has found terminated, replaced or unreachable.
  *
- * <p>The list shows an end late, and not at all while it cannot be read. Without reports each
- * instance would find each of these upstreams by a request of its own. A report costs a datagram
- * for each other instance.
+ * <p>The list shows a termination late, and not at all while it cannot be read. Without reports
+ * each instance would detect each of these upstreams with a request of its own. A report costs one
+ * datagram per other instance.
  *
- * <p>What is heard only steers the choice, but for a leave. An upstream that was reported wrongly
- * is avoided for a time and tried again, and is still taken where there is no other. One that
- * leaves has said so itself, and gets nothing more.
+ * <p>Reports only influence the selection, except for leaving. An upstream that was reported
+ * wrongly is avoided for a time, then tried again, and is still selected if there is no other. One
+ * that is leaving has announced it itself and gets no more requests.
  */
 public final class UpstreamStatusBroadcast {
 
   /**
-   * A replaced upstream never comes back under its name, but stays in the list for as long as the
-   * list cannot be read, which may be a long outage of the store.
+   * A replaced upstream never returns under its id, but stays in the list as long as the list
+   * cannot be read, which may be a long outage of the store.
    */
   private static final long AVOID_REPLACED_MS = 60_000;
 
-  /** The same is not told again for this time, by which an upstream may have started again. */
+  /**
+   * The same report is not repeated within this time, after which an upstream may have restarted.
+   */
   private static final long REPORT_INTERVAL_MS = 2_000;
 
   /**
-   * Reports that one instance sends in a second. More upstreams than that are found at a time only
-   * when a whole domain ends, and then each instance finds some of them.
+   * Maximum number of reports per second from one instance. More upstreams than that are detected
+   * at a time only when a whole failure domain goes down, and then each instance detects some of
+   * them.
    */
   private static final int MAX_REPORTS_PER_S = 20;
 
@@ -54,16 +57,16 @@
   private final ReportRateLimiter rate = new ReportRateLimiter(MAX_REPORTS_PER_S);
 
   /**
-   * Creates the news.
+   * Creates the broadcast.
    *
    * @param self this instance
-   * @param others the instances that are told
-   * @param reports sends what they are told
+   * @param others the instances to report to
+   * @param reports sends the reports
    * @param list the registered upstreams
-   * @param loads the loads by which upstreams are avoided
-   * @param warmUps gets what shows that an upstream warms up
-   * @param leaving gets the upstreams that leave
-   * @param timers the time
+   * @param loads the loads, through which upstreams are avoided
+   * @param warmUps notified of upstreams that may be warming up
+   * @param leaving records the upstreams that are leaving
+   * @param timers the clock
    */
   public UpstreamStatusBroadcast(
       InstanceRecord self,
@@ -86,10 +89,10 @@
   }
 
   /**
-   * Notes what this instance has found out itself, and tells the others.
+   * Called when this instance has detected the status of an upstream; reports it to the others.
    *
    * @param upstream the upstream
-   * @param fate what was found out
+   * @param fate the detected status
    */
   public void onDetected(RegisteredUpstream upstream, UpstreamStatus fate) {
     apply(upstream, fate);
@@ -101,9 +104,9 @@
   }
 
   /**
-   * Takes what another instance has found out.
+   * Called when a report of another instance arrives.
    *
-   * @param report its report
+   * @param report the report
    */
   public void onReport(UpstreamStatusReport report) {
     receivedCount.incrementAndGet();
@@ -132,14 +135,14 @@
     }
   }
 
-  /** Whoever is in another domain may reach an upstream that is out of reach from here. */
+  /** Instances in other failure domains may reach an upstream that is unreachable from here. */
   private List<InstanceRecord> recipients(UpstreamStatus fate) {
     return fate == UpstreamStatus.UNREACHABLE
         ? others.get().stream().filter(other -> other.domain().equals(self.domain())).toList()
         : others.get();
   }
 
-  /** Says whether this is news, and not what was told or heard just now. */
+  /** Records a report and checks that it was not sent or received recently. */
   private boolean recordIfNew(UpstreamStatusReport report) {
     Long before = reportedMs.put(report, timers.nowMs());
     return before == null || timers.nowMs() - before >= REPORT_INTERVAL_MS;
@@ -151,16 +154,16 @@
   }
 
   /**
-   * Counts what was told.
+   * Returns the number of reports sent.
    *
-   * @return reports since the start, each to all others
+   * @return reports since the start, each to all other instances
    */
   public long sentCount() {
     return sentCount.get();
   }
 
   /**
-   * Counts what was heard.
+   * Returns the number of reports received.
    *
    * @return reports since the start
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusReport.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusReport.java
@@ -1,12 +1,12 @@
 package io.mothrill.core.forward.upstream;
 
 /**
- * What one instance tells others about an upstream.
+ * A report between instances about the status of an upstream.
  *
- * @param incarnation the start of the upstream that is meant
- * @param host the IP address at which that was seen
- * @param port the TCP port at which that was seen
- * @param status what was seen
+ * @param incarnation the incarnation of the upstream
+ * @param host the IP address at which the status was detected
+ * @param port the TCP port at which the status was detected
+ * @param status the detected status
  */
 public record UpstreamStatusReport(
     String incarnation, String host, int port, UpstreamStatus status) {
@@ -15,7 +15,7 @@
     return new UpstreamStatusReport(upstream.incarnation(), upstream.host(), upstream.port(), fate);
   }
 
-  /** Says whether it is about an upstream as it stands in the list now. */
+  /** Checks whether the report is about an upstream as currently registered. */
   boolean isAbout(RegisteredUpstream upstream) {
     return upstream.incarnation().equals(incarnation)
         && upstream.host().equals(host)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/WarmUpListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/WarmUpListener.java
@@ -1,20 +1,20 @@
 package io.mothrill.core.forward.upstream;
 
-/** Gets what shows that an upstream warms up, beside what the list says. */
+/** Notified of signs of a warm-up that are not in the list. */
 public interface WarmUpListener {
 
   /**
-   * Notes that the process of an upstream has ended: its port refuses connections.
+   * Called when the process of an upstream has terminated: its port refuses connections.
    *
    * @param upstream the upstream
    */
   void onProcessEnded(RegisteredUpstream upstream);
 
   /**
-   * Notes what an upstream has said itself, which is newer than its word in the list.
+   * Called when an upstream has reported its warm-up itself, which is newer than its registration.
    *
    * @param upstream the upstream
-   * @param leftMs how much longer it warms up; 0 when it is warm
+   * @param leftMs the remaining warm-up time; 0 if it is warm
    */
   void onWarmUpReported(RegisteredUpstream upstream, long leftMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The upstreams that requests are forwarded to: who is there, how loaded, and which one to take.
- */
+/** The upstreams that requests are forwarded to: registration, load and selection. */
 package io.mothrill.core.forward.upstream;
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmUpBounds.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmUpBounds.java
@@ -3,27 +3,28 @@
 import io.mothrill.core.forward.plan.WarmUpPlan;
 
 /**
- * How far all instances together may exceed what an upstream bears while it warms up.
+ * How far all instances together may exceed the capacity of an upstream that is warming up.
  *
- * @param factor allowed requests for each that it bears
- * @param extraPerS requests that are allowed besides in any second
+ * @param factor the allowed multiple of its capacity
+ * @param extraPerS the requests allowed in addition in any second
  */
 public record WarmUpBounds(double factor, double extraPerS) {
 
   /**
-   * Gives bounds that allow no more than is borne.
+   * Returns limits that allow exactly the capacity.
    *
-   * @return a factor of 1 and nothing besides
+   * @return a factor of 1 and nothing in addition
    */
   public static WarmUpBounds exact() {
     return new WarmUpBounds(1, 0);
   }
 
   /**
-   * Gives the most requests that an upstream may get in any second, from all instances.
+   * Returns the maximum number of requests that an upstream may get in any second from all
+   * instances.
    *
-   * @param plan what it bears
-   * @return a count
+   * @param plan the capacity of the upstream
+   * @return the number of requests
    */
   public int maxRequestsPerSecond(WarmUpPlan plan) {
     return (int) Math.floor(plan.requestsPerS() * factor + extraPerS);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmUpRateLimits.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmUpRateLimits.java
@@ -8,16 +8,16 @@
 import java.util.function.Function;
 
 /**
- * What upstreams bear while they warm up.
+ * The rate limits of upstreams that are warming up.
  *
- * <p>Upstreams that have just started are the least loaded to every instance, so without a bound
- * all of them would choose these first.
+ * <p>To every instance, upstreams that have just started have the least load, so without a limit
+ * all instances would select them first.
  */
 public final class WarmUpRateLimits implements RateLimits {
 
   private static final long WINDOW_MS = 1_000;
 
-  /** Callers that are refused for lack of a permit find one after this time at the latest. */
+  /** Callers refused for lack of a permit find one after this time at the latest. */
   private static final long MAX_RETRY_MS = 1_000;
 
   private final WarmingUpstreams warming;
@@ -25,11 +25,11 @@
   private final WarmUpBounds bounds;
 
   /**
-   * Creates the allowances.
+   * Creates the rate limits.
    *
-   * @param warming which upstreams warm up
-   * @param plans what the upstreams of a service bear meanwhile; empty when nothing bounds it
-   * @param bounds how far that may be exceeded
+   * @param warming the upstreams that are warming up
+   * @param plans the warm-up capacity of a service's upstreams; empty if it is not limited
+   * @param bounds how far the capacity may be exceeded
    */
   public WarmUpRateLimits(
       WarmingUpstreams warming, Function<String, Optional<WarmUpPlan>> plans, WarmUpBounds bounds) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
@@ -17,21 +17,22 @@
 import org.tinylog.Logger;
 
 /**
- * Knows which upstreams warm up, from what they say and from their ends.
+ * Tracks which upstreams are warming up, from their reports and terminations.
  *
- * <p>What an upstream says counts from when it was read, so its warm-up is taken to last longer by
- * the age of its word, never shorter. One that is seen for the first time and says nothing is taken
- * to have just started.
+ * <p>The remaining time that an upstream reports counts from when the report was read, so a warm-up
+ * is assumed to last longer by the age of the report, never shorter. A new upstream that reports
+ * nothing is assumed to have just started.
  *
- * <p>An upstream that refuses connections may start again under its name, so it is taken to be
- * warming up until the list must have shown the truth. The idle upstreams of a domain that is taken
- * back may have turned cold, so they are taken to warm up until they say otherwise.
+ * <p>An upstream that refuses connections may restart under its id, so it is assumed to be warming
+ * up until a restart must be visible in the list. When the evacuation of a failure domain ends, its
+ * idle upstreams may have become cold, so they are assumed to be warming up until they report
+ * otherwise.
  */
 public final class WarmingUpstreams implements WarmUpListener {
 
   /**
-   * After an end the list shows a new start within a heartbeat and a read, or loses the upstream
-   * after three silent heartbeats; this is longer than both.
+   * After a termination the list shows the restart within a heartbeat and a read, or the upstream
+   * disappears after three missed heartbeats; this is longer than both.
    */
   private static final long RESTART_VISIBLE_MS = 5_000;
 
@@ -41,7 +42,7 @@
   private Set<String> evacuated;
   private final Map<String, Long> endedMs = new ConcurrentHashMap<>();
 
-  /** An upstream as it was read last, and until when it warms up. */
+  /** An upstream as last read, and the end of its warm-up. */
   private record TrackedUpstream(RegisteredUpstream upstream, long untilMs) {
 
     TrackedUpstream warmingUntil(long laterMs) {
@@ -50,13 +51,12 @@
   }
 
   /**
-   * Begins to follow a list.
+   * Creates the tracker and subscribes to the list.
    *
    * @param list the registered upstreams
-   * @param evacuatedDomains the failure domains that operators are emptying
-   * @param plans what the upstreams of a service bear while they warm up; empty when nothing bounds
-   *     it
-   * @param timers the time
+   * @param evacuatedDomains the failure domains that operators are evacuating
+   * @param plans the warm-up of a service's upstreams; empty if it is not limited
+   * @param timers the clock
    */
   public WarmingUpstreams(
       PublishedValue<UpstreamList> list,
@@ -143,29 +143,29 @@
   }
 
   /**
-   * Says whether an upstream warms up.
+   * Checks whether an upstream is warming up.
    *
    * @param upstream the upstream
-   * @return true when it does, or may do after an end
+   * @return true if it is, or may be after a termination
    */
   public boolean isWarming(RegisteredUpstream upstream) {
     return remainingMs(upstream) > 0;
   }
 
   /**
-   * Counts the upstreams that warm up.
+   * Returns the number of upstreams that are warming up.
    *
-   * @return a count
+   * @return the number of upstreams
    */
   public long warmingCount() {
     return tracked.values().stream().map(TrackedUpstream::upstream).filter(this::isWarming).count();
   }
 
   /**
-   * Says how much longer an upstream warms up.
+   * Returns the remaining warm-up time of an upstream.
    *
    * @param upstream the upstream
-   * @return milliseconds; 0 when it is warm
+   * @return milliseconds; 0 if it is warm
    */
   public long remainingMs(RegisteredUpstream upstream) {
     TrackedUpstream found = tracked.get(upstream.incarnation());
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/package-info.java
@@ -1,2 +1,2 @@
-/** Upstreams that have just started: which they are, and how much each may be sent. */
+/** Upstreams that are warming up after a start, and the rate limits for them. */
 package io.mothrill.core.forward.warmup;
