--- a/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
@@ -12,7 +12,7 @@
  * Forwards the state that upstreams announce in their answers to the components that use it.
  *
  * <pre>{@code
- * reports.onAnswer(upstream, sentMs, metadata.self());
+ * reports.onAnswer(upstream, sentMs, metadata.selfReport());
  * }</pre>
  */
 public final class SelfReportDispatcher {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
@@ -28,8 +28,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-// Whatever forbids to send a request is asked in one place: at the choice, and once more right
-// before the request is written, as facts change while a connection is opened.
+// Guards against sending a request that a check rejects: checks run at selection and once more
+// right before the request is written, because conditions change while a connection is opened.
 class SendChecksTest {
 
   private static final String SERVICE = "asistan";
@@ -136,7 +136,7 @@
     assertRefused(register("izmir"), query(none, Eligibility.unrestricted()), Cause.OUTSIDE_HOME);
   }
 
-  // The domain is evacuated between the choice of an upstream there and its open connection.
+  // The failure domain is evacuated between selection of an upstream there and its open connection.
   @Test
   void evacuatedDomainGetsNotEvenWhatWasChosenBefore() {
     RegisteredUpstream chosen = register("konya");
@@ -156,7 +156,7 @@
     assertRefused(chosen, sound(), Cause.NO_UPSTREAM);
   }
 
-  // The list was read before the upstream said so, and again after that from a store that lags.
+  // The list was read before the announcement, and again after it from a lagging store.
   @Test
   void upstreamThatHasSaidItLeavesGetsNothingWhateverTheListSays() {
     RegisteredUpstream chosen = register("konya");
@@ -167,7 +167,7 @@
     assertRefused(chosen, sound(), Cause.NO_UPSTREAM);
   }
 
-  // The upstream turns one request away while another one waits for its connection.
+  // The upstream requests a backoff from one request while another one waits for its connection.
   @Test
   void upstreamThatRestsGetsNotEvenWhatWasChosenBefore() {
     RegisteredUpstream chosen = register("konya");
@@ -224,8 +224,8 @@
         register("konya"), query(AllowedRegions.unrestricted(), late), Cause.NOT_SENT_IN_TIME);
   }
 
-  // One domain is evacuated, the upstream of the other warms up: the caller hears of that one, as
-  // it is there first.
+  // One failure domain is evacuated and the upstream of the other is warming up. The caller is told
+  // about the warm-up, as that upstream is available first.
   @Test
   void tellsWhatStandsInTheWayOfTheUpstreamThatComesNearest() {
     RegisteredUpstream cold = upstream("izmir", false, 3_000);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGossipTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGossipTest.java
@@ -10,17 +10,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-// A request ends upstreams through three different instances. The callers of a fourth lose theirs
-// too if it does not hear of it: all instances that are in touch have to know within the time that
-// an instance may take to be in touch again, whatever messages get lost.
+// Guards against instances that do not learn of a quarantine: a request crashes upstreams through
+// three different instances, and a fourth that does not know of it would crash another one. All
+// reachable instances must know within the time that an instance may take to be reachable again,
+// whatever messages are lost.
 class CrashGossipTest {
 
-  /** An instance counts as in touch once it has been calm for so long. */
+  /** An instance counts as reachable once its network has been stable for this time. */
   private static final long IN_TOUCH_MS = 3_000;
 
   private static final int SEEDS = 20;
 
-  /** When each instance knew, from the third crash on. */
+  /** The time at which each instance knew, measured from the third crash. */
   private static List<Long> spread(CrashSimulation world, int instanceCount) {
     for (int third = 0; third < 3; third++) {
       world.crash(third % instanceCount, third);
@@ -50,7 +51,8 @@
     }
   }
 
-  // An instance is cut off while the others learn of it, and hears of it once it is back.
+  // An instance is partitioned while the others learn of the crashes, and learns of them once it is
+  // reconnected.
   @Test
   void instanceThatWasCutOffHearsOfIt() {
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -67,7 +69,8 @@
     }
   }
 
-  // A third of the fleet is replaced at the same moment; new processes know nothing and ask.
+  // A third of the fleet is replaced at the same moment; the new processes know nothing and request
+  // the records.
   @Test
   void newProcessesAsk() {
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -95,8 +98,8 @@
     assertThat(world.datagramCount).isEqualTo(0);
   }
 
-  // A failure domain loses power: hundreds of requests of many instances end with it, each of them
-  // once. That is told within bounds, and not again and again.
+  // A failure domain loses power, which ends hundreds of requests of many instances once each. They
+  // are broadcast within limits and not repeated.
   @Test
   void tellsOfManyBystandersWithinBounds() {
     CrashSimulation world = new CrashSimulation(95, 0, 1);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
@@ -23,8 +23,8 @@
         .forEach(upstream -> guard.onConnectionLost(CrashSimulation.REQUEST, upstream));
   }
 
-  // Connections are reset while their upstreams go on: by a link, a full upstream, or one that
-  // fails part of its requests. None of that speaks against the request.
+  // Connections are reset although their upstreams keep running: by the network, a full upstream,
+  // or one that fails some of its requests. None of these counts as a crash.
   @Test
   void brokenConnectionsOfUpstreamsThatGoOnDoNotCount() {
     world.upstreamsGoOn();
@@ -36,7 +36,8 @@
     assertThat(guard.isIdle()).isTrue();
   }
 
-  // An upstream that leaves cuts off what it cannot finish, and ends: that is no crash.
+  // An upstream that is leaving closes connections with unfinished requests and terminates, which
+  // is no crash.
   @Test
   void upstreamThatLeavesDoesNotCount() {
     RegisteredUpstream one = CrashSimulation.upstream(1);
@@ -58,8 +59,8 @@
     assertThat(guard.crashCount(CrashSimulation.REQUEST)).isEqualTo(0);
   }
 
-  // A repeat comes while it is still being found out whether the third upstream has ended. It waits
-  // for that; a request with nothing against it does not.
+  // A request is repeated while the third upstream is still being probed. It waits for the probe; a
+  // request without crashes does not.
   @Test
   void repeatWaitsOnlyForWhatDecides() {
     CompletableFuture<Boolean> ended = new CompletableFuture<>();
@@ -88,8 +89,8 @@
     assertThat(slow.crashCount(CrashSimulation.REQUEST)).isEqualTo(3);
   }
 
-  // The upstreams are behind a cut and show nothing. A request does not wait for them until its own
-  // time is over; what is not known does not speak against it.
+  // The upstreams are partitioned and do not answer probes. A request does not wait for them until
+  // its own deadline, and an unknown result does not count as a crash.
   @Test
   void repeatDoesNotWaitForUpstreamsThatShowNothing() {
     CrashGuard blind =
@@ -120,7 +121,7 @@
         new UpstreamList(IntStream.range(0, 9).mapToObj(CrashSimulation::upstream).toList()));
   }
 
-  // A bystander that ran well somewhere is served as before, at all instances.
+  // A request that has succeeded somewhere is served again at all instances.
   @Test
   void goodRunIsToldToTheOthers() {
     CrashSimulation fleet = new CrashSimulation(8, 0, 1);
@@ -135,8 +136,8 @@
     assertThat(fleet.refusingCount()).isEqualTo(0);
   }
 
-  // A caller sends ten thousand different requests that each end an upstream. What is kept stays
-  // bounded, and what is known of another request that ended three stays.
+  // A caller sends ten thousand different requests that each crash an upstream. The number of
+  // records stays bounded, and the record of another request with three crashes is kept.
   @Test
   void manyRequestsOfOneCallerDoNotPushOutWhatCounts() {
     breakUnder(
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashRecordTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashRecordTest.java
@@ -35,8 +35,8 @@
     assertThat(threeCrashes().isQuarantined(NOW_MS)).isTrue();
   }
 
-  // Several instances had the request at the same upstream, or one report came twice: it is one
-  // upstream that ended.
+  // Several instances had the request running at the same upstream, or a report was duplicated: it
+  // is one crash.
   @Test
   void countsEachEndOnce() {
     CrashRecord record = record(crash("i-1@0", 500), crash("i-1@0", 520), crash("i-1@0", 500));
@@ -44,7 +44,7 @@
     assertThat(record.countAt(NOW_MS)).isEqualTo(1);
   }
 
-  // An upstream that does not tell its start is back under the same name and ends again.
+  // An upstream that does not report its start time restarts under the same name and crashes again.
   @Test
   void countsLaterEndOfTheSameName() {
     CrashRecord record =
@@ -53,7 +53,7 @@
     assertThat(record.isQuarantined(NOW_MS)).isTrue();
   }
 
-  // A run that ends well shows that the request was a bystander of what crashed before.
+  // A successful run shows that the request did not cause the earlier crashes.
   @Test
   void isServedAgainAfterOneGoodRun() {
     CrashRecord cleared = threeCrashes().cleared(NOW_MS + 1);
@@ -69,7 +69,8 @@
     assertThat(cleared.with(crash("i-4@0", NOW_MS + 2)).countAt(NOW_MS + 2)).isEqualTo(1);
   }
 
-  // The request may be tried once the quarantine is over; a further crash refuses it at once.
+  // The request may be sent once the quarantine is over; one more crash starts the quarantine
+  // again.
   @Test
   void oneMoreCrashAfterTheQuarantineBringsItBack() {
     long laterMs = NOW_MS + CrashRecord.QUARANTINE_MS;
@@ -85,8 +86,8 @@
     assertThat(threeCrashes().isExpired(NOW_MS + 3 * CrashRecord.QUARANTINE_MS)).isTrue();
   }
 
-  // Reports come late, doubled and in any order at each instance. All that have heard the same
-  // believe the same.
+  // Reports arrive late, duplicated and in any order. All instances that have received the same
+  // reports must have equal records.
   @Property(tries = 300, seed = "27003")
   void anyOrderOfReportsLeadsToTheSame(
       @ForAll @Size(max = 8) List<@IntRange(min = 1, max = 5) Integer> upstreams,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
@@ -20,14 +20,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
 
-/** Instances of several failure domains that tell each other of crashes over a lossy network. */
+/** Instances in several failure domains that send each other crash records over a lossy network. */
 final class CrashSimulation {
 
   static final Fingerprint REQUEST = new Fingerprint(7, 7);
 
   private static final int DOMAINS = 6;
 
-  /** One way between failure domains, with a little jitter. */
+  /** One-way delay between failure domains, with a little jitter. */
   private static final int MIN_DELAY_MS = 1;
 
   private static final int MAX_DELAY_MS = 4;
@@ -76,7 +76,7 @@
     return new InstanceRecord(id, id, domain(number), id, 1, false);
   }
 
-  /** Starts an instance, or another process in its place, which knows nothing. */
+  /** Starts an instance, or replaces its process by one without records. */
   void start(InstanceRecord self) {
     Object process = new Object();
     processes.put(self.id(), process);
@@ -129,7 +129,7 @@
     timers.after(delayMs, () -> receiver.onMessage(message, from));
   }
 
-  /** Lets an upstream end under the request at an instance. */
+  /** Crashes an upstream under the request at an instance. */
   void crash(int instance, int upstream) {
     guard(instance).onConnectionLost(REQUEST, upstream(upstream));
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
@@ -11,14 +11,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// All instances lose power at once, and with it their memory. The callers of the next day's first
-// seconds would lose upstreams again to a request that was refused everywhere; the table tells the
-// new processes.
+// Guards against losing the quarantine when all instances lose power at once: a request that was
+// refused everywhere would crash upstreams again after the restart. New processes read it from the
+// table.
 class QuarantineTableTest {
 
   private static final int INSTANCES = 8;
 
-  /** After this time no message about the crashes is on its way. */
+  /** After this time no message about the crashes is in transit. */
   private static final long TOLD_MS = 3_000;
 
   private final CrashSimulation world = new CrashSimulation(INSTANCES, 0, 1);
@@ -43,7 +43,8 @@
     assertThat(world.refusingCount()).isEqualTo(INSTANCES);
   }
 
-  // The store is away while the third upstream ends, and back before the power is lost.
+  // The store is unreachable when the third upstream crashes, and reachable again before the power
+  // loss.
   @Test
   void writesOnceTheStoreIsBack() {
     world.timers.advanceMs(2_000);
@@ -58,7 +59,7 @@
     assertThat(world.refusingCount()).isEqualTo(INSTANCES);
   }
 
-  // The store is away when the processes start: they read once it is back.
+  // The store is unreachable when the processes start; they read the table once it is reachable.
   @Test
   void readsOnceTheStoreIsBack() {
     crashThree();
@@ -73,7 +74,7 @@
     assertThat(world.refusingCount()).isEqualTo(INSTANCES);
   }
 
-  // Another program has written rows of its own before and behind the one that counts.
+  // Another program has written its own rows before and after the valid one.
   @Test
   void rowsOfOtherProgramsArePassedOver() {
     crashThree();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
@@ -12,18 +12,18 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-// Guards against instances that each keep a limit, or parts of it, and together exceed it while
-// they are cut off, killed, started again and added, and reports between them are late and lost.
+// Guards against instances that each enforce a limit, or a part of it, and together exceed it while
+// they are partitioned, killed, restarted and added, and reports between them are late or lost.
 class AnnouncedRateLimitPropertyTest {
 
   private static final long STEP_MS = 250;
   private static final int STEPS = 240;
   private static final long SPAN_MS = 4_000;
 
-  /** An instance that has passed an answer on keeps to it from then on. */
+  /** After this time an instance that has reported an answer enforces the limit. */
   private static final long TAKEN_IN_MS = 500;
 
-  /** A limit allows a few requests in a span, however small it is. */
+  /** A limit allows a few requests per window, however low it is. */
   private static final double LEAST_MOST = 4;
 
   private static final double[] LIMITS_PER_S = {0, 0.2, 1, 1.4, 3, 20, 500};
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
@@ -39,7 +39,7 @@
     assertThat(limits.limitedCount()).isEqualTo(0);
   }
 
-  // Two answers overtake each other: the later one is about the time before the limit.
+  // Two answers arrive out of order: the later one is from before the limit.
   @Test
   void answerToAnEarlierRequestDoesNotEndTheLimit() {
     long sentMs = timers.nowMs();
@@ -93,7 +93,7 @@
     assertThat(told).containsExactly(naming(1), naming(2), over()).inOrder();
   }
 
-  // Whoever misses the end would leave the upstream alone for long.
+  // An instance that misses the end of the limit would not send to the upstream for a long time.
   @Test
   void tellsTheEndTwice() {
     answer(timers.nowMs(), OptionalDouble.of(1));
@@ -106,7 +106,7 @@
     assertThat(told).containsExactly(over());
   }
 
-  // An upstream whose limit follows its load names another one in each answer.
+  // An upstream whose limit follows its load announces another one in each answer.
   @Test
   void limitThatChangesAllTheTimeIsToldTwiceInSecond() {
     for (int answers = 0; answers < 100; answers++) {
@@ -117,7 +117,7 @@
     assertThat(told).hasSize(2);
   }
 
-  // An upstream names a limit in every other answer.
+  // An upstream announces a limit in every other answer.
   @Test
   void limitThatComesAndGoesIsToldWithinBounds() {
     for (int answers = 0; answers < 900; answers++) {
@@ -139,7 +139,7 @@
     assertThat(limits.find(upstream)).isEmpty();
   }
 
-  // The report was sent before the upstream named its limit, and came late.
+  // The report was sent before the upstream announced its limit, and arrived late.
   @Test
   void reportThatAllowsMoreDoesNotCountAgainstWhatWasJustHeard() {
     answer(timers.nowMs(), OptionalDouble.of(1));
@@ -170,7 +170,7 @@
     assertThat(limits.limitedCount()).isEqualTo(0);
   }
 
-  // Entries lapse while the store is silent, and are back after it as they were.
+  // Entries expire while the store is unreachable, and return unchanged afterwards.
   @Test
   void limitOutlastsAnEntryThatLapses() {
     answer(timers.nowMs(), OptionalDouble.of(1));
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
@@ -15,14 +15,14 @@
 import java.util.TreeMap;
 
 /**
- * Instances before one upstream that names limits: each sends all that it may, hears the answers
- * after a while, and tells the others in reports that are late or lost.
+ * Instances that send to one upstream with announced rate limits. Each sends as much as permitted,
+ * receives the answers with a delay, and sends the others reports that are late or lost.
  */
 final class RateLimitSimulation {
 
   static final int DOMAINS = 4;
 
-  /** An instance that knows of no limit sends one request in each step. */
+  /** An instance that knows of no limit sends one request per step. */
   private static final int UNBOUNDED_SENDS = 1;
 
   private static final int LOST_ONE_IN = 4;
@@ -35,7 +35,7 @@
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
   private Saying saying = new Saying(0, OptionalDouble.empty());
 
-  /** What the upstream names from some moment on. */
+  /** An announcement of the upstream. */
   private record Saying(int number, OptionalDouble limitPerS) {}
 
   RateLimitSimulation(ManualTimers timers, Random random, int count) {
@@ -63,7 +63,7 @@
     return List.copyOf(living.values());
   }
 
-  /** Lets the upstream name another limit in its next answers, or none. */
+  /** Changes or removes the limit that the upstream announces in its next answers. */
   void name(OptionalDouble newLimitPerS) {
     saying = new Saying(saying.number() + 1, newLimitPerS);
   }
@@ -86,7 +86,7 @@
     }
   }
 
-  /** One instance, as far as it sends to the upstream. */
+  /** One instance that sends to the upstream. */
   final class Instance {
 
     private final SimulatedFleet.Member member;
@@ -110,17 +110,17 @@
       return member;
     }
 
-    /** Says whether it knows of a limit. */
+    /** Checks whether it knows of a limit. */
     boolean isBounded() {
       return limits.find(upstream).isPresent();
     }
 
-    /** Says for how long it has known from an answer what the upstream names now. */
+    /** Returns the time since it first received the current announcement in an answer. */
     long toldAgoMs() {
       return toldNumber == saying.number() ? timers.nowMs() - toldMs : 0;
     }
 
-    /** Sends all that it may, and gives how much that was. */
+    /** Sends as many requests as permitted and returns their number. */
     int send() {
       int sent = 0;
       while ((isBounded() || sent < UNBOUNDED_SENDS) && permits.tryAcquire(upstream)) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
@@ -80,7 +80,8 @@
     assertThat(sender.permits().hasPermit(upstream)).isFalse();
   }
 
-  // A limit that is far above what callers want must not take the upstream away from most of them.
+  // A limit far above the load of the callers must not make the upstream unavailable to most of
+  // them.
   @Test
   void largeLimitIsSharedByAllInstances() {
     most = 2_000;
@@ -88,7 +89,7 @@
     start().forEach(sender -> assertThat(takeAll(sender)).isAtLeast(40));
   }
 
-  // All upstreams of a service name limits at the same time, far above what they get.
+  // All upstreams of a service announce limits at the same time, far above the requests they get.
   @Test
   void nobodyWaitsUnderLargeLimit() {
     most = 2_000;
@@ -96,7 +97,7 @@
     assertThat(takeAll(start())).isEqualTo(1_000);
   }
 
-  // The instance that sent has ended just after its last request.
+  // The instance that was sending terminated right after its last request.
   @Test
   void successorWaitsUntilWhatWasSentBeforeHasLeftTheSpan() {
     List<Sender> senders = start();
@@ -117,7 +118,8 @@
     assertThat(takeAll(left)).isEqualTo(2);
   }
 
-  // Under a silent store nobody knows the fleet; a large limit must not end all service then.
+  // While the store is unreachable no instance knows the fleet; a large limit must not stop all
+  // service then.
   @Test
   void silentStoreLeavesLargeLimitToAll() {
     most = 2_000;
@@ -128,7 +130,7 @@
     assertThat(takeAll(senders)).isEqualTo(1_000);
   }
 
-  // Nobody sends under a limit of nothing, so no answer would ever tell that it is over.
+  // With a limit of zero no instance sends, so no answer would ever show that the limit has ended.
   @Test
   void oneInstanceAfterTheOtherAsksWhenNobodyHasHeardForLong() {
     most = 0;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Instances that each read at times of their own who the others are. */
+/** Instances that each read the list of instances at different times. */
 public final class SimulatedFleet {
 
-  /** Rows that an instance reads in a second, on average. */
+  /** Average number of rows that an instance reads per second. */
   private static final int ROWS_PER_S = 6;
 
   private static final long LATE_READ_MS = 2_000;
@@ -18,29 +18,29 @@
   private final ManualTimers timers;
   private final Map<String, Member> living = new TreeMap<>();
 
-  /** Creates a fleet without instances. */
+  /** Creates an empty fleet. */
   public SimulatedFleet(ManualTimers timers) {
     this.timers = timers;
   }
 
-  /** Says for how long a view of some instances is current. */
+  /** Returns for how long a view of some number of instances is current. */
   public static long currentMs(int count) {
     return count * 1_000L / ROWS_PER_S + LATE_READ_MS;
   }
 
-  /** Starts an instance, in place of the one that had its id. */
+  /** Starts an instance and replaces the one that had its id. */
   public Member start(String id, String domain) {
     Member member = new Member(new InstanceRecord(id, id, domain, "10.0.0.1", 1, false));
     living.put(id, member);
     return member;
   }
 
-  /** Ends an instance. */
+  /** Stops an instance. */
   public void stop(String id) {
     living.remove(id);
   }
 
-  /** Lets all instances know of each other, as after hours of calm. */
+  /** Lets all instances read each other, as after hours without changes. */
   public void settle() {
     living.values().forEach(member -> member.startedMs = timers.nowMs() - 3_600_000);
     living.values().forEach(Member::read);
@@ -59,27 +59,27 @@
       this.self = self;
     }
 
-    /** Gives what others read of this instance. */
+    /** Returns the registration of this instance. */
     public InstanceRecord self() {
       return self;
     }
 
-    /** Cuts the instance off from the store and from the others. */
+    /** Partitions the instance from the store and from the others. */
     public void cutOff() {
       cutOff = true;
     }
 
-    /** Ends the cut. */
+    /** Ends the partition. */
     public void reconnect() {
       cutOff = false;
     }
 
-    /** Says whether the instance is cut off. */
+    /** Checks whether the instance is partitioned. */
     public boolean isCutOff() {
       return cutOff;
     }
 
-    /** Reads the rows of the others: those that renew theirs. */
+    /** Reads the rows of the instances that renew theirs. */
     public void read() {
       if (cutOff) {
         return;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/request/FingerprintTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/request/FingerprintTest.java
@@ -33,8 +33,8 @@
         .isNotEqualTo(USUAL);
   }
 
-  // The end of one part and the begin of the next cannot be exchanged: a caller who chooses its
-  // path and body freely cannot make a request that is taken for another team's.
+  // The boundary between two parts must count: otherwise a caller that chooses its path and body
+  // freely could construct a request with the fingerprint of another team's request.
   @Test
   void partsDoNotRunIntoEachOther() {
     assertThat(of("branc", "hhall.example", "/form/7?x=1", "abc")).isNotEqualTo(USUAL);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
@@ -28,8 +28,8 @@
     return taken;
   }
 
-  // Pattern: every upstream fails, and all instances send again as often as they may, at any
-  // moment of the window. Together they stay below what is allowed, even with half as many
+  // Guards against a retry storm: every upstream fails, and all instances retry as often as they
+  // may, at any moment of the window. Together they stay below the limit, even with half as many
   // instances more than any of them knows of.
   @Test
   void allInstancesTogetherStayBelowTheBoundInAnyWindow() {
@@ -48,8 +48,8 @@
     assertThat((double) taken).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
   }
 
-  // With seventy instances the part of each is less than one send. A caller whose request met an
-  // upstream that had just been replaced must not be refused for that.
+  // With seventy instances the part of each is less than one retry. A caller whose request was sent
+  // to an upstream that had just been replaced must not be refused for that.
   @Test
   void oneOfManyInstancesMaySendAgain() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 70, timers);
@@ -57,8 +57,8 @@
     assertThat(takeAll(budget)).isEqualTo(1);
   }
 
-  // Pattern: seventy instances with seven requests a second each, and all upstreams fail for as
-  // long as the calm before had let the instances save up.
+  // Seventy instances get seven requests per second each. First all upstreams work, so the
+  // instances save up retries, and then all upstreams fail for an equally long time.
   @Test
   void manyInstancesTogetherStayBelowTheBound() {
     List<SharedRetryBudget> budgets =
@@ -80,7 +80,7 @@
     assertThat((double) taken).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
   }
 
-  // With more instances than sends are allowed besides, only what requests earn may be spent.
+  // With more instances than additional retries, only retries earned by requests may be spent.
   @Test
   void thousandsOfInstancesSpendOnlyWhatRequestsEarn() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 1_700, timers);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachabilityTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachabilityTest.java
@@ -53,7 +53,8 @@
     return reply;
   }
 
-  // A domain is cut off. Within less than a second it is known, and nothing is said of the others.
+  // A failure domain is partitioned. This is detected within less than a second, and other domains
+  // are not affected.
   @Test
   void seesThatDomainIsCutOff() {
     placeRequestsFor(1_000);
@@ -77,7 +78,8 @@
     assertThat(reach.isReachable("kayseri")).isTrue();
   }
 
-  // One instance of the domain stands still while the other answers: the way there is open.
+  // One instance of the failure domain is stalled while the other answers, so the domain is
+  // reachable.
   @Test
   void oneSilentInstanceIsNoCut() {
     silent.add("kayseri-1");
@@ -88,8 +90,8 @@
     }
   }
 
-  // All processes of the domain are being restarted. Their machines refuse connections, so the way
-  // there is open, and so are the upstreams.
+  // All instances in the failure domain are restarting. Their hosts refuse connections, so the
+  // domain is reachable, and so are its upstreams.
   @Test
   void refusedConnectionShowsThatTheWayIsOpen() {
     refusing.addAll(Set.of("kayseri-1", "kayseri-2"));
@@ -111,7 +113,7 @@
     assertThat(askedCount).isEqualTo(0);
   }
 
-  // Streams of upstreams in a domain go on: whoever gets their events needs no other sign.
+  // Upstreams in the failure domain keep sending stream events, so no probe is needed.
   @Test
   void asksNobodyWhileUpstreamsAnswer() {
     for (int event = 0; event < 20; event++) {
@@ -124,8 +126,8 @@
     assertThat(askedCount).isEqualTo(0);
   }
 
-  // Most instances of a large fleet place a request now and then. What they would learn while they
-  // place none serves nobody.
+  // Most instances of a large fleet route a request only now and then. Probes while no request is
+  // routed would be of no use.
   @Test
   void asksNobodyWhileNoRequestIsPlaced() {
     timers.advanceMs(60_000);
@@ -133,8 +135,8 @@
     assertThat(askedCount).isEqualTo(0);
   }
 
-  // Each question to another instance takes a connection to it. Sixteen in a domain would be as
-  // many connections of every instance, each used once in many seconds.
+  // Each probe of another instance needs a connection to it. Probing all sixteen in a domain would
+  // need as many connections per instance, each used once in many seconds.
   @Test
   void asksTheSameInstancesAgain() {
     others = domainOf(16);
@@ -160,7 +162,7 @@
         .toList();
   }
 
-  /** Chooses an upstream, as each request does. */
+  /** Selects an upstream, as each request does. */
   private void place() {
     reach.isReachable("elsewhere");
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
@@ -15,7 +15,8 @@
     return TestUpstreams.started("i-1", "konya", startedMs);
   }
 
-  // Its entry lapses while the store is silent, and is back as ready before the leave is written.
+  // Its entry expires while the store is unreachable, and returns as ready before the leaving state
+  // is written.
   @Test
   void leaveOutlastsAnEntryThatLapses() {
     leaving.markLeaving(startedAt(1));
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/TestUpstreams.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/TestUpstreams.java
@@ -2,12 +2,12 @@
 
 import java.util.OptionalLong;
 
-/** Upstreams for tests that care for little more than their names. */
+/** Upstreams for tests in which little more than the id matters. */
 public final class TestUpstreams {
 
   private TestUpstreams() {}
 
-  /** Makes one start of a warm upstream that takes requests. */
+  /** Creates an incarnation of a warm upstream that accepts requests. */
   public static RegisteredUpstream started(String id, String domain, long startedMs) {
     return new RegisteredUpstream(
         id,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamBackoffsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamBackoffsTest.java
@@ -26,7 +26,7 @@
     assertThat(resting.isBackingOff(upstream)).isFalse();
   }
 
-  // A request that was under way is turned away later, with a shorter time.
+  // A request that was in flight is rejected later, with a shorter backoff.
   @Test
   void shorterRestDoesNotCutLongerOneShort() {
     resting.onBackoffRequested(upstream, 3_000);
@@ -37,7 +37,7 @@
     assertThat(resting.remainingMs(upstream)).isEqualTo(2_500);
   }
 
-  // The entry of the upstream lapses while the store is out of reach, and is back after it.
+  // The entry of the upstream expires while the store is unreachable, and returns afterwards.
   @Test
   void restOutlastsAnEntryThatLapses() {
     resting.onBackoffRequested(upstream, 3_000);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
@@ -25,7 +25,7 @@
         .containsExactly("i-1", "i-2");
   }
 
-  // The address of an upstream has passed on to another one: the first is surely gone.
+  // The address of an upstream is used by another one: the first has certainly terminated.
   @Test
   void doesNotKeepAnUpstreamWhoseAddressIsTaken() {
     UpstreamList kept =
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -102,8 +102,8 @@
     assertThat(homes).isEqualTo(6);
   }
 
-  // Pattern: long prompts of many subjects, some of which share a home. A short wait there costs
-  // less than reading the shared part again elsewhere, so the prompt stays.
+  // Long prompts with many shared prefixes, some of which have the same preferred upstream. A short
+  // wait there costs less than another prefill of the prefix elsewhere, so the prompt stays.
   @Test
   void promptWaitsAtItsHomeAsLongAsItIsInTime() {
     String home = pick(prompt("saver-7", 100));
@@ -112,8 +112,8 @@
     assertThat(pick(prompt("saver-7", 100))).isEqualTo(home);
   }
 
-  // Pattern: one subject gets much of the traffic, or its home reads a very long prompt of another
-  // instance. Behind that the answer would be late, so the prompt goes elsewhere.
+  // One prefix gets much of the traffic, or its preferred upstream reads a very long prompt of
+  // another instance. The answer would be late behind that, so the prompt is sent elsewhere.
   @Test
   void promptLeavesItsHomeWhenItWouldBeLateThere() {
     String home = pick(prompt("saver-7", 100));
@@ -146,7 +146,8 @@
     assertThat(pickPlain(Set.of("i-1@0"))).isEqualTo(Optional.empty());
   }
 
-  // One upstream has died silently. It is avoided after the first failure, and tried again later.
+  // One upstream has crashed silently. It is avoided after the first failure, and tried again
+  // later.
   @Test
   void failedUpstreamIsAvoidedForWhile() {
     list.publish(new UpstreamList(List.of(upstream(1, false), upstream(2, false))));
@@ -158,8 +159,8 @@
     assertThat(loads.of("i-1@0").isAvoided(timers.nowMs() + 5_000)).isFalse();
   }
 
-  // Pattern: a failure domain is cut off while its upstreams still stand in the list. Requests go
-  // to the others, also when one of those has just failed, and there only if there is no other.
+  // A failure domain is partitioned while its upstreams are still in the list. Requests are sent to
+  // the others, even if one of those has just failed, and to the domain only if there is no other.
   @Test
   void upstreamsOfDomainThatIsCutOffComeLast() {
     RegisteredUpstream here = upstream(1, false);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
@@ -8,7 +8,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A process starts again under the id of an earlier one; nothing of that one is believed of it. */
+/**
+ * Guards against applying the state of an earlier process to one that restarted under the same id.
+ */
 class UpstreamRestartTest {
 
   private static final Prompt PROMPT =
@@ -59,8 +61,8 @@
     assertThat(memory.uncachedTokens(PROMPT, later.incarnation(), 1)).isEqualTo(6_000);
   }
 
-  // The process crashed with a request under way, and its connection fell silent. The request's
-  // caller must not wait for an answer that nobody works on.
+  // The process crashed with a request in flight, and its connection stalled. The caller must not
+  // wait for an answer that will never come.
   @Test
   void requestsAtTheEarlierProcessAreToldOnce() {
     RegisteredUpstream earlier = said(1_000, 9, false);
@@ -78,8 +80,8 @@
     assertThat(told.get()).isEqualTo(1);
   }
 
-  // A report of the earlier process is written late, over that of the later one. Requests go on to
-  // the later process.
+  // A registration of the earlier process is written late and overwrites that of the later one.
+  // Requests are still sent to the later process.
   @Test
   void lateWordOfTheEarlierProcessDoesNotBringItBack() {
     UpstreamList newest = words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
@@ -90,8 +92,8 @@
     assertThat(corrected.containsIncarnation(said(1_000, 9, false).incarnation())).isFalse();
   }
 
-  // An upstream has said that it leaves, and an earlier word of the same process arrives after
-  // that. It must get nothing new.
+  // An upstream has announced that it is leaving, and an older registration of the same process
+  // arrives afterwards. It must not get new requests.
   @Test
   void lateWordDoesNotTakeBackThatAnUpstreamLeaves() {
     UpstreamList leaving = words.replaceStale(list(said(1_000, 5, true)), UpstreamList.empty());
@@ -101,7 +103,8 @@
     assertThat(corrected.acceptingFor("sira")).isEmpty();
   }
 
-  // The later process has gone, and then a word of the earlier one arrives: nobody is there.
+  // The later process has gone, and then a registration of the earlier one arrives: neither is
+  // running.
   @Test
   void lateWordCountsForNothingOnceTheUpstreamIsGone() {
     words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -16,9 +16,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// Pattern: 40 of 100 upstreams crash and come back under other names while no instance can read the
-// list. Of 60 instances each would find each of the 40 by a request of its own: thousands of sends
-// that do not run, more than may be sent again, so their callers are refused.
+// Guards against each instance detecting the same failures by itself: 40 of 100 upstreams crash and
+// return under other names while no instance can read the list. Without reports, each of 60
+// instances would detect each of the 40 with a request of its own. That makes thousands of attempts
+// that do not run, more than may be retried, so their callers are refused.
 class UpstreamStatusBroadcastTest {
 
   private static final String SERVICE = "asistan";
@@ -27,10 +28,10 @@
   private static final int REPLACED = 40;
   private static final int SECONDS = 9;
 
-  /** Requests of one instance in a second: 370 of all. */
+  /** Requests per second of one instance: 370 of all. */
   private static final int REQUESTS_PER_S = 6;
 
-  /** Each upstream is found by a few instances that send to it at the same moment. */
+  /** Each upstream is detected by the few instances that send to it at the same moment. */
   private static final int MOST_FINDS = 4 * REPLACED;
 
   private final ManualTimers timers = new ManualTimers();
@@ -133,7 +134,7 @@
                 .forEach(instance -> instance.news.onReport(report)));
   }
 
-  /** Plays the cut, and counts the requests that met a replaced upstream. */
+  /** Simulates the outage and returns the number of requests sent to a replaced upstream. */
   private int countFinds() {
     int finds = 0;
     for (int second = 0; second < SECONDS; second++) {
@@ -178,7 +179,8 @@
     }
   }
 
-  // The store is silent, so the list shows no leave; the upstream ends under what it still gets.
+  // The store is unreachable, so the list does not show that the upstream is leaving, and the
+  // upstream terminates under requests that it still gets.
   @Test
   void upstreamThatSaysItLeavesIsKnownEverywhere() {
     startFleet(this::deliver);
@@ -191,7 +193,7 @@
     }
   }
 
-  // It was avoided for being full just before, which is over soon; the leave is not.
+  // The upstream was avoided because it was full, which is over soon, while leaving is final.
   @Test
   void leaveIsTakenAlsoOfAnUpstreamThatIsAvoided() {
     startFleet(this::deliver);
@@ -204,7 +206,7 @@
     assertThat(other.leaving.isLeaving(upstream(3))).isTrue();
   }
 
-  // What one domain cannot reach, others may reach.
+  // Other failure domains may reach what one cannot reach.
   @Test
   void unreachableUpstreamIsToldInTheOwnDomainOnly() {
     startFleet(this::deliver);
@@ -218,7 +220,7 @@
     }
   }
 
-  // The upstream has started again at another address by the time the report arrives.
+  // The upstream has restarted at another address by the time the report arrives.
   @Test
   void reportAboutAnotherAddressIsPassedOver() {
     startFleet(this::deliver);
@@ -229,7 +231,8 @@
     assertThat(one.loads.of("i-3@0").isAvoided(timers.nowMs())).isFalse();
   }
 
-  // A whole domain ends. Each instance reports a bounded number of upstreams in a second.
+  // A whole failure domain goes down. Each instance reports a bounded number of upstreams per
+  // second.
   @Test
   void reportsAreBounded() {
     startFleet((report, to) -> {});
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
@@ -96,7 +96,7 @@
     assertThat(plan.read().version()).isEqualTo(2);
   }
 
-  // An answer that was read earlier arrives after a newer one: the plan in force stays.
+  // A response from an earlier read arrives after a newer one: the plan in force stays.
   @Test
   void neverGoesBackToAnOlderPlan() {
     store.newest = version(5);
@@ -108,8 +108,8 @@
     assertThat(plan.read().version()).isEqualTo(5);
   }
 
-  // A read hangs on a connection that has gone silent, while new connections work. An upstream says
-  // that it leaves just then; requests must stop going there as soon as without the silent read.
+  // A read hangs on a stalled connection, while new connections work. An upstream announces at that
+  // moment that it is leaving; requests to it must stop as soon as without the stalled read.
   @Test
   void hangingReadDoesNotDelayTheNextOne() {
     follow();
@@ -133,8 +133,9 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // The store is away for six seconds and forgets who registered. Callers are still served by the
-  // upstreams known before, which register again within two seconds; those that do not are gone.
+  // The store is unreachable for six seconds and loses the registrations. Callers are still served
+  // by the upstreams known before, which register again within two seconds; those that do not are
+  // removed.
   @Test
   void keepsUpstreamsThatAreMissingAfterAnOutageForWhile() {
     follow();
@@ -151,9 +152,9 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // An upstream is taken off the list while this instance alone has lost the store. It is kept for
-  // the time in which living ones register again, and gets nothing new from the end of that time:
-  // not only from the next turn to read, which may come nearly a period later.
+  // An upstream is removed from the list while only this instance cannot reach the store. It is
+  // kept for the grace period in which live upstreams register again, and gets no requests after
+  // the end of that period, rather than only from the next periodic read nearly one interval later.
   @Test
   void stopsKeepingMissingUpstreamsAtTheEndOfTheirTime() {
     ViewSettings settings = new ViewSettings(500, 700, 2_500);
@@ -171,8 +172,8 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // A single read fails. No registration can have lapsed in that time, so an upstream that is
-  // missing afterwards has left, and gets nothing new.
+  // A single read fails. No registration can have expired in that time, so an upstream that is
+  // missing afterwards has left and gets no new requests.
   @Test
   void doesNotKeepUpstreamsAfterSingleFailedRead() {
     follow();
@@ -186,8 +187,8 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // Nearly all reads find what the last one found. Whoever keeps books by the list would go through
-  // dozens of upstreams for each, several times a second.
+  // Nearly all reads return an unchanged list. Subscribers would process dozens of upstreams for
+  // each, several times a second.
   @Test
   void tellsNobodyOfListThatSaysTheSame() {
     follow();
@@ -223,8 +224,8 @@
     assertThat(evacuatedDomains.read()).isEmpty();
   }
 
-  // The store cannot be read for a while. What was known of evacuations before holds on: requests
-  // to a domain that is being emptied would be lost.
+  // The store cannot be read for a while. Known evacuations stay in effect, as requests to a
+  // failure domain that is being evacuated would be lost.
   @Test
   void evacuationHoldsWhileTheStoreIsAway() {
     store.evacuated = Set.of("konya");
@@ -237,8 +238,8 @@
     assertThat(evacuatedDomains.read()).containsExactly("konya");
   }
 
-  // An answer from before the evacuation is late and arrives behind the answer to a later read. If
-  // it counted, the domain would get requests again until the next read.
+  // A response from before the evacuation arrives after the response to a later read. If it
+  // counted, the failure domain would get requests again until the next read.
   @Test
   void lateAnswerDoesNotTakeAnEvacuationBack() {
     follow();
@@ -254,7 +255,7 @@
     assertThat(evacuatedDomains.read()).containsExactly("konya");
   }
 
-  // The store may not tell a change: whatever was missed shows with the next whole read.
+  // The store may not report a change; a missed change becomes visible with the next full read.
   @Test
   void oneReadInFourIsWhole() {
     follow();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
@@ -12,10 +12,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.LongRange;
 
-// Pattern: for a minute instances are cut off, reconnected, killed, started again and added, each
-// reading of the others in turns of its own, while upstreams turn cold again and again. Every
-// instance sends all that it may. Whatever each believes of the others, all together stay within
-// what an upstream bears in any second.
+// Guards against overloading upstreams that are warming up. For a minute instances are partitioned,
+// reconnected, killed, restarted and added, each reading the others at different times, while
+// upstreams become cold again and again. Every instance sends as much as permitted. Whatever the
+// views of the instances, together they must not exceed the capacity of an upstream in any second.
 class WarmUpBoundPropertyTest {
 
   private static final long STEP_MS = 250;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
@@ -9,8 +9,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// The upstreams of a domain come back together, empty and cold. To every instance they look like
-// the best choice; all at once they would end them under ten times what they bear.
+// Guards against overloading upstreams of a failure domain that return together, idle and cold.
+// Every instance would select them first, and all together would crash them with ten times their
+// capacity.
 class WarmUpPermitsTest {
 
   private final ManualTimers timers = new ManualTimers();
@@ -52,8 +53,8 @@
     assertThat(takeAll(world.senderTo(cold), cold)).isEqualTo(100);
   }
 
-  // An instance that cannot read who the others are would take itself for the first of those that
-  // it last knew.
+  // An instance that cannot read the list of instances would consider itself the first of those it
+  // last knew.
   @Test
   void instanceThatDoesNotKnowTheFleetSendsNothing() {
     RegisteredUpstream cold = world.turnCold(0, 3_000);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -18,13 +18,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Instances with views of each other, and upstreams that turn cold under all of them. */
+/** Instances with views of each other, and upstreams that become cold while these send requests. */
 final class WarmUpSimulation {
 
   static final int DOMAINS = 4;
   static final int MOST_IN_A_SECOND = 18;
 
-  /** Views of eight instances are current for so long. */
+  /** How long the views of eight instances are current. */
   static final long CURRENT_MS = SimulatedFleet.currentMs(8);
 
   private static final WarmUpPlan PLAN = new WarmUpPlan(3_000, 8.7);
@@ -66,7 +66,7 @@
         .orElseThrow();
   }
 
-  /** Lets an upstream turn cold, and all instances read of it. */
+  /** Makes an upstream cold, and lets all instances read it. */
   RegisteredUpstream turnCold(int number, long leftMs) {
     long word = words.merge(number, 1L, Long::sum);
     RegisteredUpstream cold =
@@ -84,7 +84,7 @@
     return cold;
   }
 
-  /** One instance, as far as it sends to upstreams that warm up. */
+  /** One instance that sends to upstreams that are warming up. */
   static final class Instance {
 
     private final SimulatedFleet.Member member;
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
@@ -82,7 +82,7 @@
     assertThat(warming.remainingMs(started)).isEqualTo(PLAN.durationMs());
   }
 
-  // An instance that starts reads of hundreds of upstreams that have run for long.
+  // A starting instance reads hundreds of upstreams that have been running for long.
   @Test
   void upstreamsOfTheFirstListThatSayNothingAreTakenToBeWarm() {
     RegisteredUpstream known = read(saying("i-1", OptionalLong.empty(), 1));
@@ -90,8 +90,8 @@
     assertThat(warming.isWarming(known)).isFalse();
   }
 
-  // An upstream ends and is back within a second under its name. Until the next word is read, it
-  // looks as warm as before, and would get its full part of the requests at once.
+  // An upstream terminates and restarts within a second under its id. Until its next registration
+  // is read it looks as warm as before, and would get its full share of the requests at once.
   @Test
   void endedUpstreamIsTakenToWarmUpUntilItsNextWord() {
     RegisteredUpstream before = read(saying("i-1", OptionalLong.of(0), 1));
@@ -125,8 +125,8 @@
     assertThat(warming.isWarming(upstream)).isFalse();
   }
 
-  // A domain was empty for a while. Its upstreams are idle, and cold as their next words will show;
-  // until then all instances would choose them first.
+  // A failure domain was empty for a while. Its upstreams are idle, and cold as their next
+  // registrations will show; until then all instances would select them first.
   @Test
   void upstreamsOfDomainThatIsTakenBackAreTakenToWarmUp() {
     RegisteredUpstream there = read(saying("i-1", OptionalLong.of(0), 1));
