--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
@@ -88,7 +88,7 @@
               if (error == null) {
                 read.forEach(this::onRow);
               } else {
-                Logger.debug("refused requests not read yet: {}", error.getMessage());
+                Logger.debug("quarantine table not read yet: {}", error.getMessage());
                 timers.after(RETRY_MS, this::load);
               }
             });
@@ -96,7 +96,7 @@
 
   private void onRow(Row row) {
     if (!isValid(row.cells())) {
-      Logger.warn("row not understood table={} key={}", TABLE, row.key().key());
+      Logger.warn("ignoring invalid row table={} key={}", TABLE, row.key().key());
       return;
     }
     long nowMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
@@ -173,7 +173,7 @@
         incarnation,
         (name, before) -> {
           if (before == null || before.limitPerS() != limitPerS) {
-            Logger.info("upstream names limit upstream={} limitPerS={}", name, limitPerS);
+            Logger.info("upstream announces rate limit upstream={} limitPerS={}", name, limitPerS);
           }
           return before == null
               ? new AnnouncedLimit(limitPerS, nowMs, nowMs, new AtomicLong())
@@ -185,7 +185,7 @@
     AnnouncedLimit ended = limits.remove(incarnation);
     if (ended != null) {
       Logger.info(
-          "upstream names no limit any more upstream={} limitPerS={} forMs={} sent={}",
+          "upstream announces no rate limit any more upstream={} limitPerS={} forMs={} sent={}",
           incarnation,
           ended.limitPerS(),
           timers.nowMs() - ended.sinceMs(),
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
@@ -210,7 +210,7 @@
     domain.lastHeardMs = timers.nowMs();
     if (domain.cutOff) {
       domain.cutOff = false;
-      Logger.info("domain reached again domain={}", name);
+      Logger.info("failure domain reachable again domain={}", name);
     }
   }
 
@@ -223,7 +223,7 @@
     if (!domain.cutOff) {
       domain.cutOff = true;
       Logger.warn(
-          "domain out of reach domain={} silentMs={}", name, timers.nowMs() - domain.lastHeardMs);
+          "failure domain unreachable domain={} silentMs={}", name, timers.nowMs() - domain.lastHeardMs);
     }
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
@@ -44,7 +44,7 @@
   public void markLeaving(RegisteredUpstream upstream) {
     Leave leave = new Leave(timers.nowMs(), new AtomicLong());
     if (leaves.putIfAbsent(upstream.incarnation(), leave) == null) {
-      Logger.info("upstream says that it leaves upstream={}", upstream.incarnation());
+      Logger.info("upstream announces that it is leaving upstream={}", upstream.incarnation());
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
@@ -37,7 +37,7 @@
     boolean rests = isBackingOff(upstream);
     untilMs.merge(upstream.incarnation(), timers.nowMs() + restMs, Math::max);
     if (!rests) {
-      Logger.info("upstream asks for rest upstream={} restMs={}", upstream.incarnation(), restMs);
+      Logger.info("upstream requests backoff upstream={} restMs={}", upstream.incarnation(), restMs);
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
@@ -115,7 +115,7 @@
     if (upstream.isEmpty() || !recordIfNew(report)) {
       return;
     }
-    Logger.info("upstream reported upstream={} fate={}", report.incarnation(), report.status());
+    Logger.info("upstream status reported by another instance upstream={} fate={}", report.incarnation(), report.status());
     boolean avoided = loads.of(report.incarnation()).isAvoided(timers.nowMs());
     if (!avoided || report.status().isFinal()) {
       apply(upstream.get(), report.status());
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
@@ -107,7 +107,7 @@
         saidMs.orElseGet(() -> before != null || first ? 0 : durationMs(upstream.service()));
     boolean begins = leftMs > 0 && (before == null || before.untilMs() <= timers.nowMs());
     if (begins) {
-      Logger.info("upstream warms up upstream={} leftMs={}", upstream.incarnation(), leftMs);
+      Logger.info("upstream is warming up upstream={} leftMs={}", upstream.incarnation(), leftMs);
     }
     return new TrackedUpstream(upstream, timers.nowMs() + leftMs);
   }
