--- a/mothrill-core/src/main/java/io/mothrill/core/forward/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/package-info.java
@@ -1,2 +1,2 @@
-/** Forwarding: plain requests passed on as they are, to upstreams that register themselves. */
+/** Forwarding of unmodified plain requests to upstreams that register themselves. */
 package io.mothrill.core.forward;
