--- a/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
@@ -17,32 +17,33 @@
  */
 public final class SelfReportDispatcher {
 
-  private final WarmUpListener warmUps;
+  private final WarmUpListener warmUpListener;
   private final AnnouncedRateLimits limits;
   private final LeavingUpstreams leaving;
-  private final UpstreamStatusBroadcast news;
-  private final UpstreamBackoffs resting;
+  private final UpstreamStatusBroadcast statusBroadcast;
+  private final UpstreamBackoffs backoffs;
 
   /**
    * Creates a dispatcher.
    *
-   * @param warmUps notified of warm-ups
+   * @param warmUpListener notified of warm-ups
    * @param limits notified of announced rate limits
    * @param leaving counts requests to upstreams that are leaving
-   * @param news notified of upstreams that are leaving, and reports them to other instances
-   * @param resting notified of requested backoffs
+   * @param statusBroadcast notified of upstreams that are leaving, and reports them to other
+   *     instances
+   * @param backoffs notified of requested backoffs
    */
   public SelfReportDispatcher(
-      WarmUpListener warmUps,
+      WarmUpListener warmUpListener,
       AnnouncedRateLimits limits,
       LeavingUpstreams leaving,
-      UpstreamStatusBroadcast news,
-      UpstreamBackoffs resting) {
-    this.warmUps = warmUps;
+      UpstreamStatusBroadcast statusBroadcast,
+      UpstreamBackoffs backoffs) {
+    this.warmUpListener = warmUpListener;
     this.limits = limits;
     this.leaving = leaving;
-    this.news = news;
-    this.resting = resting;
+    this.statusBroadcast = statusBroadcast;
+    this.backoffs = backoffs;
   }
 
   /**
@@ -53,12 +54,14 @@
    * @param report the state announced in the answer
    */
   public void onAnswer(RegisteredUpstream upstream, long sentMs, SelfReport report) {
-    report.warmUpRemainingMs().ifPresent(leftMs -> warmUps.onWarmUpReported(upstream, leftMs));
+    report
+        .warmUpRemainingMs()
+        .ifPresent(remainingMs -> warmUpListener.onWarmUpReported(upstream, remainingMs));
     limits.onAnswer(upstream, sentMs, report.limitPerS());
     if (report.leaving()) {
-      news.onDetected(upstream, UpstreamStatus.LEAVING);
+      statusBroadcast.onDetected(upstream, UpstreamStatus.LEAVING);
     }
-    report.backoffMs().ifPresent(restMs -> resting.onBackoffRequested(upstream, restMs));
+    report.backoffMs().ifPresent(backoffMs -> backoffs.onBackoffRequested(upstream, backoffMs));
   }
 
   /**
@@ -69,6 +72,6 @@
   public void onSent(RegisteredUpstream upstream) {
     limits.onSent(upstream);
     leaving.onSent(upstream);
-    resting.onSent(upstream);
+    backoffs.onSent(upstream);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
@@ -11,15 +11,17 @@
  */
 final class BackoffCheck implements SendCheck {
 
-  private final UpstreamBackoffs resting;
+  private final UpstreamBackoffs backoffs;
 
-  BackoffCheck(UpstreamBackoffs resting) {
-    this.resting = resting;
+  BackoffCheck(UpstreamBackoffs backoffs) {
+    this.backoffs = backoffs;
   }
 
   @Override
   public Optional<Rejection> check(RegisteredUpstream upstream, UpstreamQuery query, long nowMs) {
-    long leftMs = resting.remainingMs(upstream);
-    return leftMs == 0 ? Optional.empty() : Optional.of(new Rejection(Cause.RESTING, leftMs));
+    long remainingMs = backoffs.remainingMs(upstream);
+    return remainingMs == 0
+        ? Optional.empty()
+        : Optional.of(new Rejection(Cause.RESTING, remainingMs));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/SendChecks.java
@@ -51,9 +51,9 @@
    * @param regionByDomain the region of each failure domain
    * @param evacuatedDomains the failure domains that operators are evacuating
    * @param leaving the upstreams that have announced that they are leaving
-   * @param resting the upstreams that have requested a backoff from this instance
-   * @param warmUps the permits for upstreams that are warming up
-   * @param limits the permits for upstreams that announce a rate limit
+   * @param backoffs the upstreams that have requested a backoff from this instance
+   * @param warmUpPermits the permits for upstreams that are warming up
+   * @param limitPermits the permits for upstreams that announce a rate limit
    * @param timers the clock
    */
   public SendChecks(
@@ -61,13 +61,13 @@
       Map<String, String> regionByDomain,
       PublishedValue<Set<String>> evacuatedDomains,
       LeavingUpstreams leaving,
-      UpstreamBackoffs resting,
-      SendPermits warmUps,
-      SendPermits limits,
+      UpstreamBackoffs backoffs,
+      SendPermits warmUpPermits,
+      SendPermits limitPermits,
       Timers timers) {
     this.list = list;
-    this.warmUpPermits = warmUps;
-    this.limitPermits = limits;
+    this.warmUpPermits = warmUpPermits;
+    this.limitPermits = limitPermits;
     this.timers = timers;
     this.checks =
         List.of(
@@ -77,9 +77,9 @@
             new RegionCheck(regionByDomain),
             new EvacuationCheck(evacuatedDomains),
             new AvailabilityCheck(list, leaving),
-            new BackoffCheck(resting),
-            new PermitCheck(warmUps, Cause.WARMING_UP),
-            new PermitCheck(limits, Cause.LIMITED));
+            new BackoffCheck(backoffs),
+            new PermitCheck(warmUpPermits, Cause.WARMING_UP),
+            new PermitCheck(limitPermits, Cause.LIMITED));
   }
 
   @Override
@@ -112,7 +112,7 @@
    * @return the rejection
    */
   public Rejection findRejection(UpstreamQuery query) {
-    record Placed(int place, Rejection objection) {}
+    record Ranked(int checkIndex, Rejection rejection) {}
 
     long nowMs = timers.nowMs();
     return list.read().acceptingFor(query.service()).stream()
@@ -120,18 +120,18 @@
             upstream ->
                 IntStream.range(0, checks.size())
                     .mapToObj(
-                        place ->
+                        checkIndex ->
                             checks
-                                .get(place)
+                                .get(checkIndex)
                                 .check(upstream, query, nowMs)
-                                .map(objection -> new Placed(place, objection)))
+                                .map(rejection -> new Ranked(checkIndex, rejection)))
                     .flatMap(Optional::stream)
                     .limit(1))
         .max(
-            Comparator.comparingInt(Placed::place)
+            Comparator.comparingInt(Ranked::checkIndex)
                 .thenComparing(
-                    placed -> placed.objection().retryAfterMs(), Comparator.reverseOrder()))
-        .map(Placed::objection)
+                    ranked -> ranked.rejection().retryAfterMs(), Comparator.reverseOrder()))
+        .map(Ranked::rejection)
         .orElse(NO_UPSTREAM);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGossip.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGossip.java
@@ -99,24 +99,24 @@
    * Starts the gossip and requests the records of other instances.
    *
    * @param others the other running instances
-   * @param reports sends messages
+   * @param sender sends messages
    * @param records the records of this instance
-   * @param heard called with each record received
+   * @param onReceived called with each record received
    * @param timers the clock
    * @param random varies the first recipients between instances, so that all receive repeats about
    *     equally often
    */
   CrashGossip(
       Supplier<List<InstanceRecord>> others,
-      CrashMessageSender reports,
+      CrashMessageSender sender,
       CrashRecords records,
-      Consumer<CrashRecord> heard,
+      Consumer<CrashRecord> onReceived,
       Timers timers,
       RandomGenerator random) {
     this.others = others;
-    this.sender = reports;
+    this.sender = sender;
     this.records = records;
-    this.onReceived = heard;
+    this.onReceived = onReceived;
     this.timers = timers;
     this.ringOffset = random.nextInt(Integer.MAX_VALUE);
     timers.every(REPEAT_INTERVAL_MS, this::repeatKnown);
@@ -146,19 +146,19 @@
 
   private void sendRound() {
     int first = ringOffset + roundCount.getAndIncrement() * MAX_RECIPIENTS;
-    List<InstanceRecord> told = othersFrom(first, MAX_RECIPIENTS);
-    int messages = Math.max(1, MAX_DATAGRAMS_PER_ROUND / Math.max(1, told.size()));
+    List<InstanceRecord> recipients = othersFrom(first, MAX_RECIPIENTS);
+    int messages = Math.max(1, MAX_DATAGRAMS_PER_ROUND / Math.max(1, recipients.size()));
     long nowMs = timers.nowMs();
-    List<CrashRecord> most =
+    List<CrashRecord> batch =
         unsent.stream()
             .flatMap(fingerprint -> records.find(fingerprint).stream())
             .sorted(
                 Comparator.comparingInt((CrashRecord record) -> record.countAt(nowMs)).reversed())
             .limit((long) messages * CrashMessage.MAX_ENTRIES)
             .toList();
-    most.forEach(record -> unsent.remove(record.fingerprint()));
+    batch.forEach(record -> unsent.remove(record.fingerprint()));
     unsent.removeIf(fingerprint -> records.find(fingerprint).isEmpty());
-    send(most, told);
+    send(batch, recipients);
     if (unsent.isEmpty()) {
       roundScheduled.set(false);
       if (!unsent.isEmpty() && roundScheduled.compareAndSet(false, true)) {
@@ -196,13 +196,13 @@
     if (known.isEmpty()) {
       return;
     }
-    int turn = repeatCount.getAndIncrement();
+    int round = repeatCount.getAndIncrement();
     List<CrashRecord> part = new ArrayList<>();
     IntStream.range(0, Math.min(CrashMessage.MAX_ENTRIES, known.size()))
-        .map(place -> (turn * CrashMessage.MAX_ENTRIES + place) % known.size())
+        .map(index -> (round * CrashMessage.MAX_ENTRIES + index) % known.size())
         .mapToObj(known::get)
         .forEach(part::add);
-    send(part, othersFrom(ringOffset + turn, 1));
+    send(part, othersFrom(ringOffset + round, 1));
   }
 
   private static Predicate<CrashRecord> isRepeated(long nowMs) {
@@ -212,7 +212,7 @@
   private List<InstanceRecord> othersFrom(int start, int limit) {
     List<InstanceRecord> all = others.get();
     return IntStream.range(0, Math.min(limit, all.size()))
-        .mapToObj(place -> all.get(Math.floorMod(start + place, all.size())))
+        .mapToObj(index -> all.get(Math.floorMod(start + index, all.size())))
         .toList();
   }
 
@@ -245,10 +245,10 @@
   public void onMessage(CrashMessage message, InstanceRecord sender) {
     long nowMs = timers.nowMs();
     receivedCount.incrementAndGet();
-    List<CrashRecord> told =
+    List<CrashRecord> received =
         message.entries().stream().map(entry -> entry.toRecord(nowMs)).toList();
-    told.forEach(onReceived);
-    sendCorrections(told, sender);
+    received.forEach(onReceived);
+    sendCorrections(received, sender);
     if (message.requestsReply()) {
       int limit = MAX_SYNC_REPLIES * CrashMessage.MAX_ENTRIES;
       send(records.list(isRepeated(nowMs), limit), List.of(sender));
@@ -256,14 +256,14 @@
   }
 
   /** Notifies a sender that still counts crashes of a successful run that it has missed. */
-  private void sendCorrections(List<CrashRecord> told, InstanceRecord sender) {
-    List<CrashRecord> better =
-        told.stream()
+  private void sendCorrections(List<CrashRecord> received, InstanceRecord sender) {
+    List<CrashRecord> corrections =
+        received.stream()
             .filter(record -> !record.crashes().isEmpty())
             .flatMap(record -> records.find(record.fingerprint()).stream())
             .filter(known -> known.crashes().isEmpty())
             .toList();
-    send(better, List.of(sender));
+    send(corrections, List.of(sender));
   }
 
   long sentCount() {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
@@ -60,29 +60,29 @@
    *
    * @param self this instance
    * @param others the other running instances
-   * @param reports sends messages to them
+   * @param sender sends messages to them
    * @param rows stores quarantined requests for processes that start later
    * @param storeClock the clock of the store
-   * @param ends probes whether an upstream has terminated
-   * @param serving checks whether an upstream is registered and not leaving
+   * @param terminationProbe probes whether an upstream has terminated
+   * @param isServing checks whether an upstream is registered and not leaving
    * @param timers the clock
    * @param random varies the order in which instances notify each other
    */
   public CrashGuard(
       InstanceRecord self,
       Supplier<List<InstanceRecord>> others,
-      CrashMessageSender reports,
+      CrashMessageSender sender,
       TableService rows,
       StoreClock storeClock,
-      TerminationProbe ends,
-      Predicate<RegisteredUpstream> serving,
+      TerminationProbe terminationProbe,
+      Predicate<RegisteredUpstream> isServing,
       Timers timers,
       RandomGenerator random) {
     this.self = self;
-    this.terminationProbe = ends;
-    this.isServing = serving;
+    this.terminationProbe = terminationProbe;
+    this.isServing = isServing;
     this.timers = timers;
-    this.gossip = new CrashGossip(others, reports, records, this::add, timers, random);
+    this.gossip = new CrashGossip(others, sender, records, this::add, timers, random);
     this.table = new QuarantineTable(rows, storeClock, records, this::add, timers);
   }
 
@@ -128,16 +128,16 @@
    *     maximum wait is over
    */
   public CompletableFuture<Void> awaitProbes(Fingerprint fingerprint, int limit) {
-    List<CompletableFuture<Void>> open = pendingProbes.getOrDefault(fingerprint, List.of());
-    boolean decided = open.isEmpty() || crashCount(fingerprint) + open.size() < limit;
+    List<CompletableFuture<Void>> pending = pendingProbes.getOrDefault(fingerprint, List.of());
+    boolean decided = pending.isEmpty() || crashCount(fingerprint) + pending.size() < limit;
     if (decided) {
       return CompletableFuture.completedFuture(null);
     }
-    CompletableFuture<Void> settled = new CompletableFuture<>();
-    CompletableFuture.allOf(open.toArray(CompletableFuture[]::new))
-        .thenRun(() -> settled.complete(null));
-    timers.after(MAX_PROBE_WAIT_MS, () -> settled.complete(null));
-    return settled;
+    CompletableFuture<Void> completion = new CompletableFuture<>();
+    CompletableFuture.allOf(pending.toArray(CompletableFuture[]::new))
+        .thenRun(() -> completion.complete(null));
+    timers.after(MAX_PROBE_WAIT_MS, () -> completion.complete(null));
+    return completion;
   }
 
   /**
@@ -153,28 +153,29 @@
     if (!isServing.test(upstream)) {
       return;
     }
-    long brokenMs = timers.nowMs();
-    CompletableFuture<Void> look = new CompletableFuture<>();
+    long lostMs = timers.nowMs();
+    CompletableFuture<Void> probe = new CompletableFuture<>();
     pendingProbes.merge(
         fingerprint,
-        List.of(look),
+        List.of(probe),
         (before, added) -> Stream.concat(before.stream(), added.stream()).toList());
     terminationProbe
         .hasTerminated(upstream)
         .exceptionally(error -> false)
         .thenAccept(
-            ended -> {
-              if (ended) {
-                onCrash(fingerprint, upstream, brokenMs);
+            terminated -> {
+              if (terminated) {
+                onCrash(fingerprint, upstream, lostMs);
               }
-              pendingProbes.computeIfPresent(fingerprint, (key, open) -> without(open, look));
-              look.complete(null);
+              pendingProbes.computeIfPresent(
+                  fingerprint, (key, pending) -> without(pending, probe));
+              probe.complete(null);
             });
   }
 
   private static List<CompletableFuture<Void>> without(
-      List<CompletableFuture<Void>> open, CompletableFuture<Void> look) {
-    List<CompletableFuture<Void>> left = open.stream().filter(other -> other != look).toList();
+      List<CompletableFuture<Void>> pending, CompletableFuture<Void> probe) {
+    List<CompletableFuture<Void>> left = pending.stream().filter(other -> other != probe).toList();
     return left.isEmpty() ? null : left;
   }
 
@@ -198,18 +199,18 @@
   }
 
   /** Merges a record from this instance or another one. */
-  private void add(CrashRecord more) {
+  private void add(CrashRecord update) {
     long nowMs = timers.nowMs();
-    boolean before = isQuarantined(more.fingerprint(), nowMs);
-    CrashRecord record = records.add(more, nowMs);
-    if (!before && record.isQuarantined(nowMs)) {
+    boolean wasQuarantined = isQuarantined(update.fingerprint(), nowMs);
+    CrashRecord record = records.add(update, nowMs);
+    if (!wasQuarantined && record.isQuarantined(nowMs)) {
       Logger.warn(
           "request refused from now on fingerprint={} retryAfterMs={} crashes={}",
           record.fingerprint(),
           record.retryAfterMs(nowMs),
           record.describe(nowMs));
       saveIfReportedBySelf(record);
-    } else if (before && !record.isQuarantined(nowMs)) {
+    } else if (wasQuarantined && !record.isQuarantined(nowMs)) {
       Logger.info("request served again fingerprint={}", record.fingerprint());
     }
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashRecords.java
@@ -39,8 +39,8 @@
    *
    * @return the merged record
    */
-  CrashRecord add(CrashRecord news, long nowMs) {
-    CrashRecord merged = byRequest.merge(news.fingerprint(), news, CrashRecord::merge);
+  CrashRecord add(CrashRecord update, long nowMs) {
+    CrashRecord merged = byRequest.merge(update.fingerprint(), update, CrashRecord::merge);
     if (byRequest.size() > MAX_RECORDS) {
       evictLeastRelevant(nowMs);
     }
@@ -53,8 +53,8 @@
             Comparator.comparingInt((CrashRecord record) -> record.countAt(nowMs))
                 .thenComparingLong(CrashRecord::lastCrashMs))
         .limit(EVICTION_BATCH)
-        .filter(least -> byRequest.remove(least.fingerprint(), least))
-        .forEach(least -> droppedCount.incrementAndGet());
+        .filter(evicted -> byRequest.remove(evicted.fingerprint(), evicted))
+        .forEach(evicted -> droppedCount.incrementAndGet());
   }
 
   void removeExpired(long nowMs) {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/QuarantineTable.java
@@ -64,19 +64,19 @@
    * @param rows the platform's table
    * @param storeClock the clock of the store, in which rows hold their times
    * @param records the records of this instance
-   * @param found called with each record read
+   * @param onLoaded called with each record read
    * @param timers the clock
    */
   QuarantineTable(
       TableService rows,
       StoreClock storeClock,
       CrashRecords records,
-      Consumer<CrashRecord> found,
+      Consumer<CrashRecord> onLoaded,
       Timers timers) {
     this.rows = rows;
     this.storeClock = storeClock;
     this.records = records;
-    this.onLoaded = found;
+    this.onLoaded = onLoaded;
     this.timers = timers;
     timers.after(0, this::load);
   }
@@ -183,21 +183,21 @@
     Cells.Builder cells = Cells.builder();
     cells.add(HIGH, record.fingerprint().high());
     cells.add(LOW, record.fingerprint().low());
-    long toStoreMs = storeClock.nowMs() - timers.nowMs();
+    long storeOffsetMs = storeClock.nowMs() - timers.nowMs();
     IntStream.range(0, record.crashes().size())
         .forEach(
             number -> {
               Crash crash = record.crashes().get(number);
               cells.add(INCARNATION + number, crash.incarnation());
               cells.add(REPORTER + number, crash.reporter());
-              cells.add(AT + number, crash.atMs() + toStoreMs);
+              cells.add(AT + number, crash.atMs() + storeOffsetMs);
             });
     return cells.build();
   }
 
   private CrashRecord read(Row row) {
     Cells cells = row.cells();
-    long toSteadyMs = timers.nowMs() - storeClock.nowMs();
+    long steadyOffsetMs = timers.nowMs() - storeClock.nowMs();
     CrashRecord empty = CrashRecord.of(new Fingerprint(cells.number(HIGH), cells.number(LOW)));
     return crashNumbers(cells)
         .mapToObj(
@@ -205,7 +205,7 @@
                 new Crash(
                     cells.text(INCARNATION + number),
                     cells.text(REPORTER + number),
-                    Math.min(timers.nowMs(), cells.number(AT + number) + toSteadyMs)))
+                    Math.min(timers.nowMs(), cells.number(AT + number) + steadyOffsetMs)))
         .reduce(empty, CrashRecord::with, CrashRecord::merge);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
@@ -76,12 +76,12 @@
    * @param refuse refuses the request, given its crash record
    */
   public void decide(Executor executor, Runnable send, Consumer<CrashRecord> refuse) {
-    CompletableFuture<Void> known = awaitProbes();
+    CompletableFuture<Void> probes = awaitProbes();
     Runnable decision = () -> findRefusalRecord().ifPresentOrElse(refuse, send);
-    if (known.isDone()) {
+    if (probes.isDone()) {
       decision.run();
     } else {
-      known.thenRun(() -> executor.execute(decision));
+      probes.thenRun(() -> executor.execute(decision));
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/limit/AnnouncedRateLimits.java
@@ -85,17 +85,17 @@
    * Creates the limits; none is known initially.
    *
    * @param others the instances to report to
-   * @param reports sends the reports
+   * @param sender sends the reports
    * @param list the registered upstreams
    * @param timers the clock
    */
   public AnnouncedRateLimits(
       Supplier<List<InstanceRecord>> others,
-      RateLimitReportSender reports,
+      RateLimitReportSender sender,
       PublishedValue<UpstreamList> list,
       Timers timers) {
     this.others = others;
-    this.sender = reports;
+    this.sender = sender;
     this.list = list;
     this.timers = timers;
     list.subscribe(this::retain);
@@ -122,8 +122,8 @@
    */
   public void onAnswer(RegisteredUpstream upstream, long sentMs, OptionalDouble limitPerS) {
     String incarnation = upstream.incarnation();
-    AnnouncedLimit before = limits.get(incarnation);
-    if (before == null && limitPerS.isEmpty() || isOutdated(before, limitPerS, sentMs)) {
+    AnnouncedLimit known = limits.get(incarnation);
+    if (known == null && limitPerS.isEmpty() || isOutdated(known, limitPerS, sentMs)) {
       return;
     }
     if (limitPerS.isEmpty()) {
@@ -131,7 +131,7 @@
       broadcastRemoval(incarnation);
       return;
     }
-    boolean isNew = before == null || before.limitPerS() != limitPerS.getAsDouble();
+    boolean isNew = known == null || known.limitPerS() != limitPerS.getAsDouble();
     recordLimit(incarnation, limitPerS.getAsDouble());
     broadcastLimit(
         new RateLimitReport(incarnation, limitPerS),
@@ -144,9 +144,9 @@
    * @param report the report
    */
   public void onReport(RateLimitReport report) {
-    AnnouncedLimit before = limits.get(report.incarnation());
+    AnnouncedLimit known = limits.get(report.incarnation());
     if (!list.read().containsIncarnation(report.incarnation())
-        || isOutdated(before, report.limitPerS(), timers.nowMs() - MAX_REPORT_DELAY_MS)) {
+        || isOutdated(known, report.limitPerS(), timers.nowMs() - MAX_REPORT_DELAY_MS)) {
       return;
     }
     report
@@ -161,42 +161,42 @@
    * may arrive out of order.
    */
   private static boolean isOutdated(
-      AnnouncedLimit before, OptionalDouble limitPerS, long saidAfterMs) {
-    return before != null
-        && limitPerS.orElse(Double.MAX_VALUE) > before.limitPerS()
-        && saidAfterMs <= before.confirmedMs();
+      AnnouncedLimit known, OptionalDouble limitPerS, long sentAfterMs) {
+    return known != null
+        && limitPerS.orElse(Double.MAX_VALUE) > known.limitPerS()
+        && sentAfterMs <= known.confirmedMs();
   }
 
   private void recordLimit(String incarnation, double limitPerS) {
     long nowMs = timers.nowMs();
     limits.compute(
         incarnation,
-        (name, before) -> {
-          if (before == null || before.limitPerS() != limitPerS) {
+        (name, known) -> {
+          if (known == null || known.limitPerS() != limitPerS) {
             Logger.info("upstream announces rate limit upstream={} limitPerS={}", name, limitPerS);
           }
-          return before == null
+          return known == null
               ? new AnnouncedLimit(limitPerS, nowMs, nowMs, new AtomicLong())
-              : new AnnouncedLimit(limitPerS, before.sinceMs(), nowMs, before.sentCount());
+              : new AnnouncedLimit(limitPerS, known.sinceMs(), nowMs, known.sentCount());
         });
   }
 
   private void removeLimit(String incarnation) {
-    AnnouncedLimit ended = limits.remove(incarnation);
-    if (ended != null) {
+    AnnouncedLimit removed = limits.remove(incarnation);
+    if (removed != null) {
       Logger.info(
           "upstream announces no rate limit any more upstream={} limitPerS={} forMs={} sent={}",
           incarnation,
-          ended.limitPerS(),
-          timers.nowMs() - ended.sinceMs(),
-          ended.sentCount());
+          removed.limitPerS(),
+          timers.nowMs() - removed.sinceMs(),
+          removed.sentCount());
     }
   }
 
-  private void broadcastLimit(RateLimitReport report, long pauseMs) {
+  private void broadcastLimit(RateLimitReport report, long minIntervalMs) {
     long nowMs = timers.nowMs();
     Long before = broadcastMs.get(report.incarnation());
-    if (before == null || nowMs - before >= pauseMs) {
+    if (before == null || nowMs - before >= minIntervalMs) {
       broadcastMs.put(report.incarnation(), nowMs);
       broadcast(report);
     }
@@ -213,13 +213,13 @@
    * upstream until one instance probes it.
    */
   private void broadcastRemoval(String incarnation) {
-    RateLimitReport ended = new RateLimitReport(incarnation, OptionalDouble.empty());
-    broadcast(ended);
+    RateLimitReport removal = new RateLimitReport(incarnation, OptionalDouble.empty());
+    broadcast(removal);
     timers.after(
         REPEAT_REMOVAL_MS,
         () -> {
           if (!limits.containsKey(incarnation)) {
-            broadcast(ended);
+            broadcast(removal);
           }
         });
   }
@@ -231,9 +231,9 @@
   }
 
   private static RateLimit rateLimit(double limitPerS, long ageMs) {
-    double most = limitPerS * WINDOW_MS / MS_PER_S;
-    return most == 0 || most >= MIN_WINDOW_REQUESTS
-        ? new RateLimit((int) most, WINDOW_MS, ageMs, WINDOW_MS)
+    double maxRequests = limitPerS * WINDOW_MS / MS_PER_S;
+    return maxRequests == 0 || maxRequests >= MIN_WINDOW_REQUESTS
+        ? new RateLimit((int) maxRequests, WINDOW_MS, ageMs, WINDOW_MS)
         : new RateLimit(
             MIN_WINDOW_REQUESTS,
             (long) Math.ceil(MIN_WINDOW_REQUESTS * MS_PER_S / limitPerS),
@@ -247,8 +247,8 @@
     if (limit == null) {
       return MIN_RETRY_MS;
     }
-    double pauseMs = MIN_WINDOW_REQUESTS * MS_PER_S / limit.limitPerS();
-    return (long) Math.max(MIN_RETRY_MS, Math.min(MAX_RETRY_MS, pauseMs));
+    double intervalMs = MIN_WINDOW_REQUESTS * MS_PER_S / limit.limitPerS();
+    return (long) Math.max(MIN_RETRY_MS, Math.min(MAX_RETRY_MS, intervalMs));
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/permit/SendPermits.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/permit/SendPermits.java
@@ -82,14 +82,14 @@
    *
    * @param self this instance
    * @param fleet the other instances
-   * @param allowances the rate limits of upstreams
+   * @param limits the rate limits of upstreams
    * @param timers the clock
    */
-  public SendPermits(InstanceRecord self, FleetView fleet, RateLimits allowances, Timers timers) {
+  public SendPermits(InstanceRecord self, FleetView fleet, RateLimits limits, Timers timers) {
     this.self = self;
     this.fleet = fleet;
     this.fleetSize = new FleetSize(fleet, timers);
-    this.limits = allowances;
+    this.limits = limits;
     this.timers = timers;
   }
 
@@ -101,7 +101,7 @@
    */
   public boolean hasPermit(RegisteredUpstream upstream) {
     return findLimit(upstream)
-        .map(bound -> windowOf(upstream).hasCapacity(quotaOf(upstream, bound)))
+        .map(limit -> windowOf(upstream).hasCapacity(quotaOf(upstream, limit)))
         .orElse(true);
   }
 
@@ -113,7 +113,7 @@
    */
   public boolean tryAcquire(RegisteredUpstream upstream) {
     return findLimit(upstream)
-        .map(bound -> windowOf(upstream).tryAcquire(quotaOf(upstream, bound)))
+        .map(limit -> windowOf(upstream).tryAcquire(quotaOf(upstream, limit)))
         .orElse(true);
   }
 
@@ -141,57 +141,57 @@
   }
 
   private Optional<RateLimit> findLimit(RegisteredUpstream upstream) {
-    Optional<RateLimit> bound = limits.find(upstream);
-    if (bound.isEmpty()) {
+    Optional<RateLimit> limit = limits.find(upstream);
+    if (limit.isEmpty()) {
       windows.remove(upstream.incarnation());
     }
-    return bound;
+    return limit;
   }
 
-  private Quota quotaOf(RegisteredUpstream upstream, RateLimit bound) {
-    int equalShare = equalShare(bound);
+  private Quota quotaOf(RegisteredUpstream upstream, RateLimit limit) {
+    int equalShare = equalShare(limit);
     if (equalShare >= MIN_EQUAL_SHARE) {
-      return new Quota(equalShare, bound.windowMs(), 0, Long.MAX_VALUE);
+      return new Quota(equalShare, limit.windowMs(), 0, Long.MAX_VALUE);
     }
     return new Quota(
-        fleet.isCurrent() ? share(upstream, bound) : 0,
-        bound.windowMs(),
-        bound.takeoverDelayMs(),
-        bound.ageMs() < PROBE_AFTER_MS ? Long.MAX_VALUE : probeAfterMs(upstream, bound));
+        fleet.isCurrent() ? share(upstream, limit) : 0,
+        limit.windowMs(),
+        limit.takeoverDelayMs(),
+        limit.ageMs() < PROBE_AFTER_MS ? Long.MAX_VALUE : probeAfterMs(upstream, limit));
   }
 
   /** Limits without a takeover delay are only split between ranked senders. */
-  private int equalShare(RateLimit bound) {
+  private int equalShare(RateLimit limit) {
     OptionalInt count = fleetSize.count();
-    return bound.takeoverDelayMs() == 0 || count.isEmpty()
+    return limit.takeoverDelayMs() == 0 || count.isEmpty()
         ? 0
-        : bound.maxRequests() / CONCURRENT_VIEWS_AFTER_DELAY / count.getAsInt();
+        : limit.maxRequests() / CONCURRENT_VIEWS_AFTER_DELAY / count.getAsInt();
   }
 
-  private int share(RegisteredUpstream upstream, RateLimit bound) {
-    int quota = fleetQuota(bound);
-    int senders = Math.max(1, Math.min(fleet.others().size() + 1, quota / MIN_SHARE));
-    int place = rank(upstream, senders);
-    if (place >= senders) {
+  private int share(RegisteredUpstream upstream, RateLimit limit) {
+    int fleetQuota = fleetQuota(limit);
+    int senders = Math.max(1, Math.min(fleet.others().size() + 1, fleetQuota / MIN_SHARE));
+    int rank = rank(upstream, senders);
+    if (rank >= senders) {
       return 0;
     }
-    return quota / senders + (place < quota % senders ? 1 : 0);
+    return fleetQuota / senders + (rank < fleetQuota % senders ? 1 : 0);
   }
 
   /**
    * Instances probe one after the other, so that the first answer makes further probes unnecessary.
    */
-  private long probeAfterMs(RegisteredUpstream upstream, RateLimit bound) {
+  private long probeAfterMs(RegisteredUpstream upstream, RateLimit limit) {
     long afterMs = PROBE_AFTER_MS + PROBE_STEP_MS * rank(upstream, Integer.MAX_VALUE);
-    return bound.ageMs() < afterMs ? Long.MAX_VALUE : afterMs;
+    return limit.ageMs() < afterMs ? Long.MAX_VALUE : afterMs;
   }
 
   /** A limit below the number of views still allows one request per window. */
-  private static int fleetQuota(RateLimit bound) {
-    int views = bound.takeoverDelayMs() > 0 ? CONCURRENT_VIEWS_AFTER_DELAY : CONCURRENT_VIEWS;
-    return bound.maxRequests() < views
-        ? Math.min(1, bound.maxRequests())
-        : bound.maxRequests() / views;
+  private static int fleetQuota(RateLimit limit) {
+    int views = limit.takeoverDelayMs() > 0 ? CONCURRENT_VIEWS_AFTER_DELAY : CONCURRENT_VIEWS;
+    return limit.maxRequests() < views
+        ? Math.min(1, limit.maxRequests())
+        : limit.maxRequests() / views;
   }
 
   /**
@@ -199,17 +199,18 @@
    * Instances in the upstream's own failure domain come first, because a partition leaves them
    * connected to it.
    */
-  private int rank(RegisteredUpstream upstream, int most) {
-    Map<Boolean, List<InstanceRecord>> byNearness =
+  private int rank(RegisteredUpstream upstream, int max) {
+    Map<Boolean, List<InstanceRecord>> bySameDomain =
         fleet.others().stream()
             .collect(Collectors.partitioningBy(other -> other.domain().equals(upstream.domain())));
-    List<InstanceRecord> near = byNearness.get(true);
+    List<InstanceRecord> sameDomain = bySameDomain.get(true);
     if (self.domain().equals(upstream.domain())) {
-      return RendezvousHash.rankOf(upstream.incarnation(), self, near);
+      return RendezvousHash.rankOf(upstream.incarnation(), self, sameDomain);
     }
-    return near.size() >= most
-        ? most
-        : near.size() + RendezvousHash.rankOf(upstream.incarnation(), self, byNearness.get(false));
+    return sameDomain.size() >= max
+        ? max
+        : sameDomain.size()
+            + RendezvousHash.rankOf(upstream.incarnation(), self, bySameDomain.get(false));
   }
 
   private Window windowOf(RegisteredUpstream upstream) {
@@ -236,23 +237,23 @@
       return timers.nowMs() - lastSentMs > forMs;
     }
 
-    synchronized boolean hasCapacity(Quota part) {
+    synchronized boolean hasCapacity(Quota quota) {
       long nowMs = timers.nowMs();
-      while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() > part.windowMs()) {
+      while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() > quota.windowMs()) {
         sentMs.pollFirst();
       }
-      return isDelayOver(part, nowMs) && sentMs.size() < part.maxRequests()
-          || nowMs - lastSentMs >= part.probeAfterMs();
+      return isDelayOver(quota, nowMs) && sentMs.size() < quota.maxRequests()
+          || nowMs - lastSentMs >= quota.probeAfterMs();
     }
 
-    private boolean isDelayOver(Quota part, long nowMs) {
-      boolean waits = part.maxRequests() > 0 && part.takeoverDelayMs() > 0;
-      senderSinceMs = waits ? Math.min(senderSinceMs, nowMs) : Long.MAX_VALUE / 2;
-      return !waits || nowMs - senderSinceMs >= part.takeoverDelayMs();
+    private boolean isDelayOver(Quota quota, long nowMs) {
+      boolean isDelayed = quota.maxRequests() > 0 && quota.takeoverDelayMs() > 0;
+      senderSinceMs = isDelayed ? Math.min(senderSinceMs, nowMs) : Long.MAX_VALUE / 2;
+      return !isDelayed || nowMs - senderSinceMs >= quota.takeoverDelayMs();
     }
 
-    synchronized boolean tryAcquire(Quota part) {
-      if (!hasCapacity(part)) {
+    synchronized boolean tryAcquire(Quota quota) {
+      if (!hasCapacity(quota)) {
         return false;
       }
       lastSentMs = timers.nowMs();
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/retry/SharedRetryBudget.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/retry/SharedRetryBudget.java
@@ -79,8 +79,8 @@
   private double maxSpend() {
     double capacity = capacity();
     int known = instanceCount.getAsInt();
-    boolean mayHaveOne = known > 0 && known <= bounds.extraCount() / 2;
-    return capacity >= 1 || !mayHaveOne ? Math.floor(capacity) : 1;
+    boolean mayMakeOne = known > 0 && known <= bounds.extraCount() / 2;
+    return capacity >= 1 || !mayMakeOne ? Math.floor(capacity) : 1;
   }
 
   private final class Bucket {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
@@ -169,9 +169,9 @@
     if (timers.nowMs() - lastUsedMs > IN_USE_MS) {
       return;
     }
-    Map<String, List<InstanceRecord>> askedByDomain = peers().probedByDomain();
-    domains.keySet().retainAll(askedByDomain.keySet());
-    askedByDomain.forEach(this::check);
+    Map<String, List<InstanceRecord>> probedByDomain = peers().probedByDomain();
+    domains.keySet().retainAll(probedByDomain.keySet());
+    probedByDomain.forEach(this::check);
   }
 
   private void check(String name, List<InstanceRecord> instances) {
@@ -180,13 +180,13 @@
       return;
     }
     domain.probing = true;
-    long askedMs = timers.nowMs();
+    long probedMs = timers.nowMs();
     int first = Math.floorMod(domain.silentRounds * PROBED_INSTANCES, instances.size());
     CompletableFuture<?>[] answers =
         IntStream.range(first, first + Math.min(PROBED_INSTANCES, instances.size()))
-            .mapToObj(place -> probe(instances.get(place % instances.size()), name))
+            .mapToObj(index -> probe(instances.get(index % instances.size()), name))
             .toArray(CompletableFuture[]::new);
-    CompletableFuture.allOf(answers).thenRun(() -> onProbesDone(name, domain, askedMs));
+    CompletableFuture.allOf(answers).thenRun(() -> onProbesDone(name, domain, probedMs));
   }
 
   private CompletableFuture<Void> probe(InstanceRecord instance, String domain) {
@@ -214,16 +214,18 @@
     }
   }
 
-  private void onProbesDone(String name, Domain domain, long askedMs) {
+  private void onProbesDone(String name, Domain domain, long probedMs) {
     domain.probing = false;
-    if (domain.lastHeardMs >= askedMs) {
+    if (domain.lastHeardMs >= probedMs) {
       return;
     }
     domain.silentRounds++;
     if (!domain.cutOff) {
       domain.cutOff = true;
       Logger.warn(
-          "failure domain unreachable domain={} silentMs={}", name, timers.nowMs() - domain.lastHeardMs);
+          "failure domain unreachable domain={} silentMs={}",
+          name,
+          timers.nowMs() - domain.lastHeardMs);
     }
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/LeavingUpstreams.java
@@ -22,10 +22,10 @@
   private static final long RETENTION_MS = 600_000;
 
   private final Timers timers;
-  private final Map<String, Leave> leaves = new ConcurrentHashMap<>();
+  private final Map<String, Announcement> announcements = new ConcurrentHashMap<>();
 
   /** The time of the announcement and the number of requests sent since. */
-  private record Leave(long heardMs, AtomicLong sentCount) {}
+  private record Announcement(long announcedMs, AtomicLong sentCount) {}
 
   /**
    * Creates the tracker; no upstream is leaving initially.
@@ -42,8 +42,8 @@
    * @param upstream the upstream
    */
   public void markLeaving(RegisteredUpstream upstream) {
-    Leave leave = new Leave(timers.nowMs(), new AtomicLong());
-    if (leaves.putIfAbsent(upstream.incarnation(), leave) == null) {
+    Announcement announcement = new Announcement(timers.nowMs(), new AtomicLong());
+    if (announcements.putIfAbsent(upstream.incarnation(), announcement) == null) {
       Logger.info("upstream announces that it is leaving upstream={}", upstream.incarnation());
     }
   }
@@ -55,7 +55,7 @@
    * @return true if it has announced that it is leaving
    */
   public boolean isLeaving(RegisteredUpstream upstream) {
-    return leaves.containsKey(upstream.incarnation());
+    return announcements.containsKey(upstream.incarnation());
   }
 
   /**
@@ -64,9 +64,9 @@
    * @param upstream the upstream
    */
   public void onSent(RegisteredUpstream upstream) {
-    Leave leave = leaves.get(upstream.incarnation());
-    if (leave != null) {
-      leave.sentCount().incrementAndGet();
+    Announcement announcement = announcements.get(upstream.incarnation());
+    if (announcement != null) {
+      announcement.sentCount().incrementAndGet();
     }
   }
 
@@ -76,7 +76,7 @@
    * @return the number of upstreams
    */
   public int leavingCount() {
-    return leaves.size();
+    return announcements.size();
   }
 
   /**
@@ -85,7 +85,9 @@
    * @return the number of requests
    */
   public long sentCount() {
-    return leaves.values().stream().mapToLong(leave -> leave.sentCount().get()).sum();
+    return announcements.values().stream()
+        .mapToLong(announcement -> announcement.sentCount().get())
+        .sum();
   }
 
   /**
@@ -95,11 +97,11 @@
    */
   public void retain(UpstreamList list) {
     long nowMs = timers.nowMs();
-    leaves
+    announcements
         .entrySet()
         .removeIf(
             entry ->
                 !list.containsIncarnation(entry.getKey())
-                    && nowMs - entry.getValue().heardMs() > RETENTION_MS);
+                    && nowMs - entry.getValue().announcedMs() > RETENTION_MS);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PlainCost.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PlainCost.java
@@ -38,9 +38,9 @@
       UpstreamQuery query, List<RegisteredUpstream> upstreams, long nowMs) {
     return upstream -> {
       double count = loads.of(upstream.incarnation()).estimatedCount(nowMs);
-      double fullness = count / Math.max(1, upstream.slots());
+      double utilization = count / Math.max(1, upstream.slots());
       double distance = upstream.domain().equals(ownDomain) ? 0 : OTHER_DOMAIN_PENALTY;
-      return fullness + distance + JITTER * random.nextDouble();
+      return utilization + distance + JITTER * random.nextDouble();
     };
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefixCacheEstimator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PrefixCacheEstimator.java
@@ -87,15 +87,15 @@
    *
    * @param prompt the prompt
    * @param upstream the upstream
-   * @param homes the preferred upstreams for the prompt's prefix
+   * @param preferred the preferred upstreams for the prompt's prefix
    * @param nowMs the current time
    * @return the number of tokens
    */
   public double uncachedTokens(
-      Prompt prompt, RegisteredUpstream upstream, PreferredUpstreams homes, long nowMs) {
-    double kept =
-        wasSent(prompt, upstream.incarnation(), nowMs) ? 1 : cachedShare(upstream.id(), homes);
-    return prompt.inputTokens() - kept * sharedTokens(prompt);
+      Prompt prompt, RegisteredUpstream upstream, PreferredUpstreams preferred, long nowMs) {
+    double cachedShare =
+        wasSent(prompt, upstream.incarnation(), nowMs) ? 1 : cachedShare(upstream.id(), preferred);
+    return prompt.inputTokens() - cachedShare * sharedTokens(prompt);
   }
 
   /**
@@ -114,11 +114,11 @@
         : prompt.inputTokens();
   }
 
-  private static double cachedShare(String upstreamId, PreferredUpstreams homes) {
-    if (upstreamId.equals(homes.first())) {
+  private static double cachedShare(String upstreamId, PreferredUpstreams preferred) {
+    if (upstreamId.equals(preferred.first())) {
       return FIRST_CACHED_SHARE;
     }
-    return upstreamId.equals(homes.second()) ? SECOND_CACHED_SHARE : 0;
+    return upstreamId.equals(preferred.second()) ? SECOND_CACHED_SHARE : 0;
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptCost.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptCost.java
@@ -48,14 +48,14 @@
    *
    * @param ownDomain the failure domain of this instance
    * @param loads the loads of all upstreams
-   * @param memory estimates which prefixes an upstream has cached
+   * @param prefixCache estimates which prefixes an upstream has cached
    * @param speed the prefill speed of upstreams
    */
   public PromptCost(
-      String ownDomain, UpstreamLoads loads, PrefixCacheEstimator memory, PrefillSpeed speed) {
+      String ownDomain, UpstreamLoads loads, PrefixCacheEstimator prefixCache, PrefillSpeed speed) {
     this.ownDomain = ownDomain;
     this.loads = loads;
-    this.prefixCache = memory;
+    this.prefixCache = prefixCache;
     this.speed = speed;
   }
 
@@ -63,20 +63,20 @@
   public ToDoubleFunction<RegisteredUpstream> costFunction(
       UpstreamQuery query, List<RegisteredUpstream> upstreams, long nowMs) {
     Prompt prompt = query.prompt().orElseThrow();
-    PrefixCacheEstimator.PreferredUpstreams homes =
+    PrefixCacheEstimator.PreferredUpstreams preferred =
         prefixCache.preferredUpstreams(prompt, upstreams);
     double tokensPerMs = speed.tokensPerMs();
-    double inTimeTokens = TARGET_SHARE * query.targetLatencyMs() * tokensPerMs;
+    double timelyTokens = TARGET_SHARE * query.targetLatencyMs() * tokensPerMs;
     return upstream -> {
       UpstreamLoad load = loads.of(upstream.incarnation());
       double count = load.estimatedCount(nowMs);
-      double unread = prefixCache.uncachedTokens(prompt, upstream, homes, nowMs);
-      double wait =
+      double uncached = prefixCache.uncachedTokens(prompt, upstream, preferred, nowMs);
+      double queuedTokens =
           load.pendingPrefillTokens(tokensPerMs, nowMs)
               + load.estimatedQueued(nowMs) * TYPICAL_PROMPT_TOKENS;
-      return unread
-          + TIMELY_WAIT_WEIGHT * wait
-          + LATE_WAIT_WEIGHT * Math.max(0, wait + unread - inTimeTokens)
+      return uncached
+          + TIMELY_WAIT_WEIGHT * queuedTokens
+          + LATE_WAIT_WEIGHT * Math.max(0, queuedTokens + uncached - timelyTokens)
           + count * RUNNING_TOKENS
           + Math.max(0, count + 1 - upstream.slots()) * OVERFULL_TOKENS
           + (upstream.domain().equals(ownDomain) ? 0 : OTHER_DOMAIN_TOKENS);
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptNoticeSender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/PromptNoticeSender.java
@@ -8,7 +8,7 @@
    * Sends a notice about a prompt.
    *
    * @param incarnation the incarnation of the upstream that reads it
-   * @param unreadTokens the estimated number of tokens to prefill
+   * @param uncachedTokens the estimated number of tokens to prefill
    */
-  void send(String incarnation, long unreadTokens);
+  void send(String incarnation, long uncachedTokens);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegistrationVersion.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/RegistrationVersion.java
@@ -7,7 +7,7 @@
  *
  * <pre>{@code
  * RegistrationVersion before = new RegistrationVersion(1_700_000_000_000L, 4);
- * before.isOlderThan(new RegistrationVersion(1_700_000_060_000L, 1)); // true: the process restarted
+ * before.isOlderThan(new RegistrationVersion(1_700_000_060_000L, 1)); // true: restarted later
  * }</pre>
  *
  * @param startedMs the start time of the process in Unix milliseconds; 0 if it is not reported
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamBackoffs.java
@@ -31,13 +31,14 @@
    * effect.
    *
    * @param upstream the upstream
-   * @param restMs the length of the backoff
+   * @param backoffMs the length of the backoff
    */
-  public void onBackoffRequested(RegisteredUpstream upstream, long restMs) {
-    boolean rests = isBackingOff(upstream);
-    untilMs.merge(upstream.incarnation(), timers.nowMs() + restMs, Math::max);
-    if (!rests) {
-      Logger.info("upstream requests backoff upstream={} restMs={}", upstream.incarnation(), restMs);
+  public void onBackoffRequested(RegisteredUpstream upstream, long backoffMs) {
+    boolean wasBackingOff = isBackingOff(upstream);
+    untilMs.merge(upstream.incarnation(), timers.nowMs() + backoffMs, Math::max);
+    if (!wasBackingOff) {
+      Logger.info(
+          "upstream requests backoff upstream={} restMs={}", upstream.incarnation(), backoffMs);
     }
   }
 
@@ -99,6 +100,8 @@
    */
   public void retain(UpstreamList list) {
     long nowMs = timers.nowMs();
-    untilMs.entrySet().removeIf(rest -> rest.getValue() <= nowMs || list.isReplaced(rest.getKey()));
+    untilMs
+        .entrySet()
+        .removeIf(entry -> entry.getValue() <= nowMs || list.isReplaced(entry.getKey()));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamList.java
@@ -147,7 +147,9 @@
         missing ->
             byId.values().stream()
                 .anyMatch(
-                    here -> here.host().equals(missing.host()) && here.port() == missing.port());
+                    registered ->
+                        registered.host().equals(missing.host())
+                            && registered.port() == missing.port());
     List<RegisteredUpstream> kept =
         earlier.all().stream()
             .filter(upstream -> !contains(upstream.id()))
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoad.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamLoad.java
@@ -37,7 +37,7 @@
     }
   }
 
-  private record LoadReport(int running, int waiting, long atMs) {}
+  private record LoadReport(int running, int queued, long atMs) {}
 
   /**
    * Called when a request is sent.
@@ -77,19 +77,19 @@
    * stalled, its callers would wait for an answer that will never come. The listener is called with
    * the first list that contains the new process.
    *
-   * @param watcher called at most once, on the thread that reads the list; must not block
+   * @param listener called at most once, on the thread that reads the list; must not block
    * @return a handle to remove the listener
    */
-  public Subscription onReplaced(Runnable watcher) {
-    replacementListeners.add(watcher);
-    return () -> replacementListeners.remove(watcher);
+  public Subscription onReplaced(Runnable listener) {
+    replacementListeners.add(listener);
+    return () -> replacementListeners.remove(listener);
   }
 
   /** Notifies all listeners that another process has replaced this one. */
   void notifyReplaced() {
-    for (Runnable watcher : replacementListeners) {
-      if (replacementListeners.remove(watcher)) {
-        watcher.run();
+    for (Runnable listener : replacementListeners) {
+      if (replacementListeners.remove(listener)) {
+        listener.run();
       }
     }
   }
@@ -103,11 +103,11 @@
    * Called when the upstream has reported its load.
    *
    * @param running the number of requests it is running
-   * @param waiting the number of requests queued at it
+   * @param queued the number of requests queued at it
    * @param nowMs the current time
    */
-  public void onReport(int running, int waiting, long nowMs) {
-    report = new LoadReport(running, waiting, nowMs);
+  public void onReport(int running, int queued, long nowMs) {
+    report = new LoadReport(running, queued, nowMs);
   }
 
   /** Called after a complete answer; resets earlier failures. */
@@ -182,7 +182,7 @@
     LoadReport last = report;
     double weight = Math.max(0, 1 - (nowMs - last.atMs()) / (double) REPORT_DECAY_MS);
     int own = inFlightCount.get();
-    return own + weight * Math.max(0, last.running() + last.waiting() - own);
+    return own + weight * Math.max(0, last.running() + last.queued() - own);
   }
 
   /**
@@ -194,6 +194,6 @@
   public double estimatedQueued(long nowMs) {
     LoadReport last = report;
     double weight = Math.max(0, 1 - (nowMs - last.atMs()) / (double) REPORT_DECAY_MS);
-    return weight * last.waiting();
+    return weight * last.queued();
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
@@ -35,8 +35,8 @@
    * @param plainCost the cost of plain requests
    * @param promptCost the cost of requests with a prompt
    * @param filter determines to which upstreams a request may be sent
-   * @param warming checks whether an upstream is warming up
-   * @param reachedDomains checks whether a failure domain is reachable
+   * @param isWarming checks whether an upstream is warming up
+   * @param isDomainReachable checks whether a failure domain is reachable
    * @param timers the clock
    */
   public UpstreamPicker(
@@ -45,16 +45,16 @@
       UpstreamCost plainCost,
       UpstreamCost promptCost,
       UpstreamFilter filter,
-      Predicate<RegisteredUpstream> warming,
-      Predicate<String> reachedDomains,
+      Predicate<RegisteredUpstream> isWarming,
+      Predicate<String> isDomainReachable,
       Timers timers) {
     this.list = list;
     this.loads = loads;
     this.plainCost = plainCost;
     this.promptCost = promptCost;
     this.filter = filter;
-    this.isWarming = warming;
-    this.isDomainReachable = reachedDomains;
+    this.isWarming = isWarming;
+    this.isDomainReachable = isDomainReachable;
     this.timers = timers;
   }
 
@@ -69,11 +69,11 @@
    */
   public Optional<RegisteredUpstream> pick(UpstreamQuery query) {
     long nowMs = timers.nowMs();
-    List<RegisteredUpstream> taking = list.read().acceptingFor(query.service());
+    List<RegisteredUpstream> accepting = list.read().acceptingFor(query.service());
     UpstreamCost cost = query.prompt().isPresent() ? promptCost : plainCost;
-    ToDoubleFunction<RegisteredUpstream> costOf = cost.costFunction(query, taking, nowMs);
-    List<RegisteredUpstream> left =
-        taking.stream()
+    ToDoubleFunction<RegisteredUpstream> costOf = cost.costFunction(query, accepting, nowMs);
+    List<RegisteredUpstream> untried =
+        accepting.stream()
             .filter(upstream -> !query.tried().contains(upstream.incarnation()))
             .toList();
     return Stream.<Predicate<RegisteredUpstream>>of(
@@ -81,9 +81,9 @@
             upstream -> isHealthy(upstream, nowMs),
             this::isReachable,
             upstream -> true)
-        .map(preferred -> left.stream().filter(preferred))
-        .map(some -> some.filter(upstream -> filter.permits(upstream, query, nowMs)))
-        .map(some -> cheapest(some, costOf))
+        .map(preferred -> untried.stream().filter(preferred))
+        .map(matching -> matching.filter(upstream -> filter.permits(upstream, query, nowMs)))
+        .map(matching -> cheapest(matching, costOf))
         .flatMap(Optional::stream)
         .findFirst();
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcast.java
@@ -48,7 +48,7 @@
   private final UpstreamStatusReportSender sender;
   private final PublishedValue<UpstreamList> list;
   private final UpstreamLoads loads;
-  private final WarmUpListener warmUps;
+  private final WarmUpListener warmUpListener;
   private final LeavingUpstreams leaving;
   private final Timers timers;
   private final Map<UpstreamStatusReport, Long> reportedMs = new ConcurrentHashMap<>();
@@ -61,28 +61,28 @@
    *
    * @param self this instance
    * @param others the instances to report to
-   * @param reports sends the reports
+   * @param sender sends the reports
    * @param list the registered upstreams
    * @param loads the loads, through which upstreams are avoided
-   * @param warmUps notified of upstreams that may be warming up
+   * @param warmUpListener notified of upstreams that may be warming up
    * @param leaving records the upstreams that are leaving
    * @param timers the clock
    */
   public UpstreamStatusBroadcast(
       InstanceRecord self,
       Supplier<List<InstanceRecord>> others,
-      UpstreamStatusReportSender reports,
+      UpstreamStatusReportSender sender,
       PublishedValue<UpstreamList> list,
       UpstreamLoads loads,
-      WarmUpListener warmUps,
+      WarmUpListener warmUpListener,
       LeavingUpstreams leaving,
       Timers timers) {
     this.self = self;
     this.others = others;
-    this.sender = reports;
+    this.sender = sender;
     this.list = list;
     this.loads = loads;
-    this.warmUps = warmUps;
+    this.warmUpListener = warmUpListener;
     this.leaving = leaving;
     this.timers = timers;
     timers.every(REPORT_INTERVAL_MS, this::removeExpired);
@@ -92,14 +92,14 @@
    * Called when this instance has detected the status of an upstream; reports it to the others.
    *
    * @param upstream the upstream
-   * @param fate the detected status
+   * @param status the detected status
    */
-  public void onDetected(RegisteredUpstream upstream, UpstreamStatus fate) {
-    apply(upstream, fate);
-    UpstreamStatusReport report = UpstreamStatusReport.of(upstream, fate);
+  public void onDetected(RegisteredUpstream upstream, UpstreamStatus status) {
+    apply(upstream, status);
+    UpstreamStatusReport report = UpstreamStatusReport.of(upstream, status);
     if (recordIfNew(report) && rate.tryAcquire(timers.nowMs())) {
       sentCount.incrementAndGet();
-      sender.send(report, recipients(fate));
+      sender.send(report, recipients(status));
     }
   }
 
@@ -115,29 +115,32 @@
     if (upstream.isEmpty() || !recordIfNew(report)) {
       return;
     }
-    Logger.info("upstream status reported by another instance upstream={} fate={}", report.incarnation(), report.status());
+    Logger.info(
+        "upstream status reported by another instance upstream={} fate={}",
+        report.incarnation(),
+        report.status());
     boolean avoided = loads.of(report.incarnation()).isAvoided(timers.nowMs());
     if (!avoided || report.status().isFinal()) {
       apply(upstream.get(), report.status());
     }
   }
 
-  private void apply(RegisteredUpstream upstream, UpstreamStatus fate) {
+  private void apply(RegisteredUpstream upstream, UpstreamStatus status) {
     UpstreamLoad load = loads.of(upstream.incarnation());
-    switch (fate) {
+    switch (status) {
       case LEAVING -> leaving.markLeaving(upstream);
       case REPLACED -> load.avoidFor(timers.nowMs(), AVOID_REPLACED_MS);
       case ENDED -> {
         load.onFailure(timers.nowMs());
-        warmUps.onProcessEnded(upstream);
+        warmUpListener.onProcessEnded(upstream);
       }
       default -> load.onFailure(timers.nowMs());
     }
   }
 
   /** Instances in other failure domains may reach an upstream that is unreachable from here. */
-  private List<InstanceRecord> recipients(UpstreamStatus fate) {
-    return fate == UpstreamStatus.UNREACHABLE
+  private List<InstanceRecord> recipients(UpstreamStatus status) {
+    return status == UpstreamStatus.UNREACHABLE
         ? others.get().stream().filter(other -> other.domain().equals(self.domain())).toList()
         : others.get();
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusReport.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamStatusReport.java
@@ -11,8 +11,9 @@
 public record UpstreamStatusReport(
     String incarnation, String host, int port, UpstreamStatus status) {
 
-  static UpstreamStatusReport of(RegisteredUpstream upstream, UpstreamStatus fate) {
-    return new UpstreamStatusReport(upstream.incarnation(), upstream.host(), upstream.port(), fate);
+  static UpstreamStatusReport of(RegisteredUpstream upstream, UpstreamStatus status) {
+    return new UpstreamStatusReport(
+        upstream.incarnation(), upstream.host(), upstream.port(), status);
   }
 
   /** Checks whether the report is about an upstream as currently registered. */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/WarmUpListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/WarmUpListener.java
@@ -14,7 +14,7 @@
    * Called when an upstream has reported its warm-up itself, which is newer than its registration.
    *
    * @param upstream the upstream
-   * @param leftMs the remaining warm-up time; 0 if it is warm
+   * @param remainingMs the remaining warm-up time; 0 if it is warm
    */
-  void onWarmUpReported(RegisteredUpstream upstream, long leftMs);
+  void onWarmUpReported(RegisteredUpstream upstream, long remainingMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/view/StatePoller.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/view/StatePoller.java
@@ -32,7 +32,7 @@
   /** Four reads fit into the time in which a change must be known, so one of them is full. */
   private static final int FULL_READ_EVERY = 4;
 
-  private final StateSource state;
+  private final StateSource source;
   private final PublishedValue<ForwardingPlan> plan;
   private final PublishedValue<Set<String>> evacuatedDomains;
   private final PublishedValue<UpstreamList> upstreams;
@@ -41,8 +41,8 @@
   private final StaleRegistrationFilter staleFilter = new StaleRegistrationFilter();
   private final AtomicInteger planReadCount = new AtomicInteger();
   private final AtomicInteger upstreamsReadCount = new AtomicInteger();
-  private OptionalLong lostMs = OptionalLong.empty();
-  private long regainedMs = Long.MIN_VALUE / 2;
+  private OptionalLong unreachableSinceMs = OptionalLong.empty();
+  private long reachableSinceMs = Long.MIN_VALUE / 2;
   private long upstreamsStartedMs = Long.MIN_VALUE;
   private long evacuationsStartedMs = Long.MIN_VALUE;
   private long lastAnsweredStartMs = Long.MIN_VALUE;
@@ -52,7 +52,7 @@
   /**
    * Creates the poller and starts the first reads.
    *
-   * @param state the source to read from
+   * @param source the source to read from
    * @param plan the plan in force; its version only increases
    * @param evacuatedDomains the failure domains that operators are evacuating
    * @param upstreams the registered upstreams
@@ -60,13 +60,13 @@
    * @param settings the poll intervals
    */
   public StatePoller(
-      StateSource state,
+      StateSource source,
       PublishedValue<ForwardingPlan> plan,
       PublishedValue<Set<String>> evacuatedDomains,
       PublishedValue<UpstreamList> upstreams,
       Timers timers,
       ViewSettings settings) {
-    this.state = state;
+    this.source = source;
     this.plan = plan;
     this.evacuatedDomains = evacuatedDomains;
     this.upstreams = upstreams;
@@ -83,7 +83,7 @@
   private void readConfig() {
     long startedMs = timers.nowMs();
     var unused =
-        state
+        source
             .readConfig(modeOf(planReadCount.getAndIncrement()))
             .thenAccept(
                 read -> {
@@ -94,8 +94,8 @@
             .whenComplete((nothing, error) -> recordOutcome(startedMs, error));
   }
 
-  private static ReadMode modeOf(int turn) {
-    return turn % FULL_READ_EVERY == 0 ? ReadMode.FULL : ReadMode.INCREMENTAL;
+  private static ReadMode modeOf(int readCount) {
+    return readCount % FULL_READ_EVERY == 0 ? ReadMode.FULL : ReadMode.INCREMENTAL;
   }
 
   private void applyPlan(ForwardingPlan read) {
@@ -125,7 +125,7 @@
   private void readUpstreams() {
     long startedMs = timers.nowMs();
     var unused =
-        state
+        source
             .readUpstreams(modeOf(upstreamsReadCount.getAndIncrement()))
             .thenAccept(read -> applyUpstreams(startedMs, read))
             .whenComplete((nothing, error) -> recordOutcome(startedMs, error));
@@ -147,12 +147,12 @@
       return;
     }
     upstreamsStartedMs = startedMs;
-    boolean returning =
-        wasUnreachable() || timers.nowMs() - regainedMs < settings.recoveryGraceMs();
+    boolean inGracePeriod =
+        wasUnreachable() || timers.nowMs() - reachableSinceMs < settings.recoveryGraceMs();
     upstreams.update(
         before -> {
           UpstreamList corrected = staleFilter.replaceStale(read, before);
-          UpstreamList current = returning ? corrected.withMissingFrom(before) : corrected;
+          UpstreamList current = inGracePeriod ? corrected.withMissingFrom(before) : corrected;
           return current.hasSameContent(before) ? before : current;
         });
     upstreamsReadMs = timers.nowMs();
@@ -177,7 +177,8 @@
   }
 
   private boolean wasUnreachable() {
-    return lostMs.isPresent() && timers.nowMs() - lostMs.getAsLong() >= MIN_OUTAGE_MS;
+    return unreachableSinceMs.isPresent()
+        && timers.nowMs() - unreachableSinceMs.getAsLong() >= MIN_OUTAGE_MS;
   }
 
   /** Records whether the store answered. A late failure is ignored if a later read was answered. */
@@ -188,15 +189,15 @@
     }
     lastAnsweredStartMs =
         error == null ? Math.max(lastAnsweredStartMs, startedMs) : lastAnsweredStartMs;
-    if (error != null && lostMs.isEmpty()) {
-      lostMs = OptionalLong.of(nowMs);
+    if (error != null && unreachableSinceMs.isEmpty()) {
+      unreachableSinceMs = OptionalLong.of(nowMs);
       Logger.warn("store lost: {}", Failures.unwrap(error).getMessage());
     }
-    if (error == null && lostMs.isPresent()) {
+    if (error == null && unreachableSinceMs.isPresent()) {
       if (wasUnreachable()) {
         startRecoveryGrace(nowMs);
       }
-      lostMs = OptionalLong.empty();
+      unreachableSinceMs = OptionalLong.empty();
       Logger.info("store regained");
     }
   }
@@ -209,7 +210,7 @@
    * is read again as soon as the grace period ends.
    */
   private void startRecoveryGrace(long nowMs) {
-    regainedMs = nowMs;
+    reachableSinceMs = nowMs;
     var unused = timers.after(settings.recoveryGraceMs(), this::readUpstreams);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/view/StateSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/view/StateSource.java
@@ -13,16 +13,16 @@
   /**
    * Reads the declared configuration.
    *
-   * @param extent whether to read all rows or only changes
+   * @param mode whether to read all rows or only changes
    * @return a consistent snapshot of the configuration
    */
-  CompletableFuture<DeclaredConfig> readConfig(ReadMode extent);
+  CompletableFuture<DeclaredConfig> readConfig(ReadMode mode);
 
   /**
    * Reads the registered upstreams.
    *
-   * @param extent whether to read all rows or only changes
+   * @param mode whether to read all rows or only changes
    * @return the upstreams
    */
-  CompletableFuture<UpstreamList> readUpstreams(ReadMode extent);
+  CompletableFuture<UpstreamList> readUpstreams(ReadMode mode);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
@@ -40,7 +40,7 @@
   private final Timers timers;
   private volatile Map<String, TrackedUpstream> tracked = Map.of();
   private Set<String> evacuated;
-  private final Map<String, Long> endedMs = new ConcurrentHashMap<>();
+  private final Map<String, Long> terminatedMs = new ConcurrentHashMap<>();
 
   /** An upstream as last read, and the end of its warm-up. */
   private record TrackedUpstream(RegisteredUpstream upstream, long untilMs) {
@@ -70,14 +70,14 @@
     evacuatedDomains.subscribe(this::onEvacuations);
   }
 
-  private synchronized void onEvacuations(Set<String> now) {
-    Set<String> takenBack = new HashSet<>(evacuated);
-    takenBack.removeAll(now);
-    evacuated = now;
+  private synchronized void onEvacuations(Set<String> evacuatedNow) {
+    Set<String> reopenedDomains = new HashSet<>(evacuated);
+    reopenedDomains.removeAll(evacuatedNow);
+    evacuated = evacuatedNow;
     Map<String, TrackedUpstream> next = new HashMap<>(tracked);
     next.replaceAll(
         (incarnation, found) ->
-            takenBack.contains(found.upstream().domain())
+            reopenedDomains.contains(found.upstream().domain())
                 ? found.warmingUntil(restartedWarmUpEnd(found))
                 : found);
     tracked = next;
@@ -93,7 +93,7 @@
     Map<String, TrackedUpstream> next = new HashMap<>();
     list.all().forEach(upstream -> next.put(upstream.incarnation(), track(upstream, first)));
     tracked = next;
-    endedMs.keySet().retainAll(next.keySet());
+    terminatedMs.keySet().retainAll(next.keySet());
   }
 
   private TrackedUpstream track(RegisteredUpstream upstream, boolean first) {
@@ -101,15 +101,16 @@
     if (before != null && before.upstream().equals(upstream)) {
       return before;
     }
-    endedMs.remove(upstream.incarnation());
-    OptionalLong saidMs = upstream.warmUpRemainingMs();
-    long leftMs =
-        saidMs.orElseGet(() -> before != null || first ? 0 : durationMs(upstream.service()));
-    boolean begins = leftMs > 0 && (before == null || before.untilMs() <= timers.nowMs());
-    if (begins) {
-      Logger.info("upstream is warming up upstream={} leftMs={}", upstream.incarnation(), leftMs);
+    terminatedMs.remove(upstream.incarnation());
+    OptionalLong reportedMs = upstream.warmUpRemainingMs();
+    long remainingMs =
+        reportedMs.orElseGet(() -> before != null || first ? 0 : durationMs(upstream.service()));
+    boolean starts = remainingMs > 0 && (before == null || before.untilMs() <= timers.nowMs());
+    if (starts) {
+      Logger.info(
+          "upstream is warming up upstream={} leftMs={}", upstream.incarnation(), remainingMs);
     }
-    return new TrackedUpstream(upstream, timers.nowMs() + leftMs);
+    return new TrackedUpstream(upstream, timers.nowMs() + remainingMs);
   }
 
   private long durationMs(String service) {
@@ -117,28 +118,29 @@
   }
 
   @Override
-  public void onWarmUpReported(RegisteredUpstream upstream, long leftMs) {
-    if (leftMs > 0 || isWarming(upstream)) {
-      applyReport(upstream, leftMs);
+  public void onWarmUpReported(RegisteredUpstream upstream, long remainingMs) {
+    if (remainingMs > 0 || isWarming(upstream)) {
+      applyReport(upstream, remainingMs);
     }
   }
 
-  private synchronized void applyReport(RegisteredUpstream upstream, long leftMs) {
+  private synchronized void applyReport(RegisteredUpstream upstream, long remainingMs) {
     TrackedUpstream before = tracked.get(upstream.incarnation());
     if (before == null) {
       return;
     }
     Map<String, TrackedUpstream> next = new HashMap<>(tracked);
     next.put(
-        upstream.incarnation(), new TrackedUpstream(before.upstream(), timers.nowMs() + leftMs));
+        upstream.incarnation(),
+        new TrackedUpstream(before.upstream(), timers.nowMs() + remainingMs));
     tracked = next;
-    endedMs.remove(upstream.incarnation());
+    terminatedMs.remove(upstream.incarnation());
   }
 
   @Override
   public void onProcessEnded(RegisteredUpstream upstream) {
     if (tracked.containsKey(upstream.incarnation())) {
-      endedMs.put(upstream.incarnation(), timers.nowMs());
+      terminatedMs.put(upstream.incarnation(), timers.nowMs());
     }
   }
 
@@ -169,9 +171,11 @@
    */
   public long remainingMs(RegisteredUpstream upstream) {
     TrackedUpstream found = tracked.get(upstream.incarnation());
-    long saidMs = found == null ? durationMs(upstream.service()) : remaining(found.untilMs());
-    Long ended = endedMs.get(upstream.incarnation());
-    return ended == null ? saidMs : Math.max(saidMs, remaining(ended + RESTART_VISIBLE_MS));
+    long reportedMs = found == null ? durationMs(upstream.service()) : remaining(found.untilMs());
+    Long terminated = terminatedMs.get(upstream.incarnation());
+    return terminated == null
+        ? reportedMs
+        : Math.max(reportedMs, remaining(terminated + RESTART_VISIBLE_MS));
   }
 
   private long remaining(long untilMs) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
@@ -44,14 +44,14 @@
   private final AnnouncedRateLimits limits =
       new AnnouncedRateLimits(List::of, (report, to) -> {}, list, timers);
   private final LeavingUpstreams leaving = new LeavingUpstreams(timers);
-  private final UpstreamBackoffs resting = new UpstreamBackoffs(timers);
+  private final UpstreamBackoffs backoffs = new UpstreamBackoffs(timers);
   private final SendChecks checks =
       new SendChecks(
           list,
           Map.of("konya", "anadolu", "izmir", "ege"),
           evacuated,
           leaving,
-          resting,
+          backoffs,
           new SendPermits(
               self,
               alone(),
@@ -74,7 +74,8 @@
     };
   }
 
-  private static RegisteredUpstream upstream(String domain, boolean leaving, long warmUpLeftMs) {
+  private static RegisteredUpstream upstream(
+      String domain, boolean leaving, long warmUpRemainingMs) {
     return new RegisteredUpstream(
         "i-" + domain,
         SERVICE,
@@ -83,7 +84,7 @@
         domain,
         8,
         leaving,
-        OptionalLong.of(warmUpLeftMs),
+        OptionalLong.of(warmUpRemainingMs),
         RegistrationVersion.UNKNOWN);
   }
 
@@ -93,11 +94,11 @@
     return upstream;
   }
 
-  private static UpstreamQuery query(AllowedRegions homes, Eligibility standing) {
-    return new UpstreamQuery(SERVICE, 800, Optional.empty(), homes, Set.of(), standing);
+  private static UpstreamQuery query(AllowedRegions allowedRegions, Eligibility eligibility) {
+    return new UpstreamQuery(SERVICE, 800, Optional.empty(), allowedRegions, Set.of(), eligibility);
   }
 
-  private static UpstreamQuery sound() {
+  private static UpstreamQuery unrestricted() {
     return query(AllowedRegions.unrestricted(), Eligibility.unrestricted());
   }
 
@@ -108,12 +109,12 @@
   }
 
   @Test
-  void soundRequestMayBeWritten() {
-    assertThat(checks.admit(register("konya"), sound())).isTrue();
+  void admitsUnrestrictedRequest() {
+    assertThat(checks.admit(register("konya"), unrestricted())).isTrue();
   }
 
   @Test
-  void requestOutsideItsHomesIsNotSent() {
+  void rejectsRequestOutsideItsAllowedRegions() {
     UpstreamQuery bound = query(AllowedRegions.of(List.of("ege")), Eligibility.unrestricted());
 
     assertRefused(register("konya"), bound, Cause.OUTSIDE_HOME);
@@ -121,7 +122,7 @@
   }
 
   @Test
-  void domainOfUnknownRegionIsNoHome() {
+  void domainOfUnknownRegionIsNotAllowed() {
     assertRefused(
         register("atlantis"),
         query(AllowedRegions.of(List.of("ege")), Eligibility.unrestricted()),
@@ -129,7 +130,7 @@
   }
 
   @Test
-  void routeAndTeamWithoutSharedRegionLeaveNone() {
+  void routeAndTeamWithoutCommonRegionAllowNone() {
     AllowedRegions none =
         AllowedRegions.of(List.of("ege")).intersect(AllowedRegions.of(List.of("anadolu")));
 
@@ -138,70 +139,70 @@
 
   // The failure domain is evacuated between selection of an upstream there and its open connection.
   @Test
-  void evacuatedDomainGetsNotEvenWhatWasChosenBefore() {
+  void rejectsDomainEvacuatedAfterSelection() {
     RegisteredUpstream chosen = register("konya");
-    assertThat(checks.permits(chosen, sound(), timers.nowMs())).isTrue();
+    assertThat(checks.permits(chosen, unrestricted(), timers.nowMs())).isTrue();
 
     evacuated.publish(Set.of("konya"));
 
-    assertRefused(chosen, sound(), Cause.EVACUATED);
+    assertRefused(chosen, unrestricted(), Cause.EVACUATED);
   }
 
   @Test
-  void upstreamThatBeganToLeaveGetsNothing() {
+  void rejectsUpstreamThatStartedToLeave() {
     RegisteredUpstream chosen = register("konya");
 
     list.publish(new UpstreamList(List.of(upstream("konya", true, 0))));
 
-    assertRefused(chosen, sound(), Cause.NO_UPSTREAM);
+    assertRefused(chosen, unrestricted(), Cause.NO_UPSTREAM);
   }
 
   // The list was read before the announcement, and again after it from a lagging store.
   @Test
-  void upstreamThatHasSaidItLeavesGetsNothingWhateverTheListSays() {
+  void rejectsUpstreamThatAnnouncedLeavingWhateverTheListShows() {
     RegisteredUpstream chosen = register("konya");
 
     leaving.markLeaving(chosen);
     register("konya");
 
-    assertRefused(chosen, sound(), Cause.NO_UPSTREAM);
+    assertRefused(chosen, unrestricted(), Cause.NO_UPSTREAM);
   }
 
   // The upstream requests a backoff from one request while another one waits for its connection.
   @Test
-  void upstreamThatRestsGetsNotEvenWhatWasChosenBefore() {
+  void rejectsUpstreamThatRequestedBackoffAfterSelection() {
     RegisteredUpstream chosen = register("konya");
-    assertThat(checks.permits(chosen, sound(), timers.nowMs())).isTrue();
+    assertThat(checks.permits(chosen, unrestricted(), timers.nowMs())).isTrue();
 
-    resting.onBackoffRequested(chosen, 3_000);
+    backoffs.onBackoffRequested(chosen, 3_000);
 
-    assertRefused(chosen, sound(), Cause.RESTING);
+    assertRefused(chosen, unrestricted(), Cause.RESTING);
     timers.advanceMs(3_000);
-    assertThat(checks.admit(chosen, sound())).isTrue();
+    assertThat(checks.admit(chosen, unrestricted())).isTrue();
   }
 
   @Test
-  void callersAreToldTheEarliestEndOfRest() {
+  void rejectionHasEarliestEndOfBackoffs() {
     RegisteredUpstream one = upstream("konya", false, 0);
     RegisteredUpstream other = upstream("izmir", false, 0);
     list.publish(new UpstreamList(List.of(one, other)));
-    resting.onBackoffRequested(one, 3_000);
-    resting.onBackoffRequested(other, 1_200);
+    backoffs.onBackoffRequested(one, 3_000);
+    backoffs.onBackoffRequested(other, 1_200);
 
-    assertThat(checks.findRejection(sound())).isEqualTo(new Rejection(Cause.RESTING, 1_200));
+    assertThat(checks.findRejection(unrestricted())).isEqualTo(new Rejection(Cause.RESTING, 1_200));
   }
 
   @Test
-  void upstreamThatWarmsUpGetsItsShareAndNoMore() {
+  void warmingUpstreamGetsNoMoreThanItsQuota() {
     RegisteredUpstream cold = upstream("konya", false, 3_000);
     list.publish(new UpstreamList(List.of(cold)));
 
-    assertThat(checks.admit(cold, sound())).isTrue();
-    assertRefused(cold, sound(), Cause.WARMING_UP);
+    assertThat(checks.admit(cold, unrestricted())).isTrue();
+    assertRefused(cold, unrestricted(), Cause.WARMING_UP);
   }
 
   @Test
-  void unpaidRequestIsNotSent() {
+  void rejectsRequestWithoutReservedTokens() {
     Eligibility unpaid = new Eligibility(Long.MAX_VALUE, false, () -> false);
 
     assertRefused(
@@ -209,7 +210,7 @@
   }
 
   @Test
-  void requestThatCrashesUpstreamsIsNotSent() {
+  void rejectsQuarantinedRequest() {
     Eligibility deadly = new Eligibility(Long.MAX_VALUE, true, () -> true);
 
     assertRefused(
@@ -217,7 +218,7 @@
   }
 
   @Test
-  void requestWhoseTimeIsOverIsNotSent() {
+  void rejectsRequestPastItsDeadline() {
     Eligibility late = new Eligibility(timers.nowMs() + 19, true, () -> false);
 
     assertRefused(
@@ -227,17 +228,17 @@
   // One failure domain is evacuated and the upstream of the other is warming up. The caller is told
   // about the warm-up, as that upstream is available first.
   @Test
-  void tellsWhatStandsInTheWayOfTheUpstreamThatComesNearest() {
+  void reportsRejectionOfUpstreamThatPassedMostChecks() {
     RegisteredUpstream cold = upstream("izmir", false, 3_000);
     list.publish(new UpstreamList(List.of(upstream("konya", false, 0), cold)));
     evacuated.publish(Set.of("konya"));
-    assertThat(checks.admit(cold, sound())).isTrue();
+    assertThat(checks.admit(cold, unrestricted())).isTrue();
 
-    assertThat(checks.findRejection(sound()).cause()).isEqualTo(Cause.WARMING_UP);
+    assertThat(checks.findRejection(unrestricted()).cause()).isEqualTo(Cause.WARMING_UP);
   }
 
   @Test
-  void withoutAnyUpstreamThereIsNobody() {
-    assertThat(checks.findRejection(sound()).cause()).isEqualTo(Cause.NO_UPSTREAM);
+  void reportsNoUpstreamForEmptyList() {
+    assertThat(checks.findRejection(unrestricted()).cause()).isEqualTo(Cause.NO_UPSTREAM);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashGuardTest.java
@@ -15,10 +15,10 @@
 
 class CrashGuardTest {
 
-  private final CrashSimulation world = new CrashSimulation(1, 0, 1);
-  private final CrashGuard guard = world.guard(0);
+  private final CrashSimulation simulation = new CrashSimulation(1, 0, 1);
+  private final CrashGuard guard = simulation.guard(0);
 
-  private void breakUnder(RegisteredUpstream... upstreams) {
+  private void loseConnections(RegisteredUpstream... upstreams) {
     List.of(upstreams)
         .forEach(upstream -> guard.onConnectionLost(CrashSimulation.REQUEST, upstream));
   }
@@ -26,10 +26,10 @@
   // Connections are reset although their upstreams keep running: by the network, a full upstream,
   // or one that fails some of its requests. None of these counts as a crash.
   @Test
-  void brokenConnectionsOfUpstreamsThatGoOnDoNotCount() {
-    world.upstreamsGoOn();
+  void lostConnectionsOfRunningUpstreamsDoNotCount() {
+    simulation.keepUpstreamsRunning();
 
-    breakUnder(
+    loseConnections(
         CrashSimulation.upstream(1), CrashSimulation.upstream(2), CrashSimulation.upstream(3));
 
     assertThat(guard.crashCount(CrashSimulation.REQUEST)).isEqualTo(0);
@@ -52,9 +52,9 @@
             true,
             OptionalLong.empty(),
             one.registrationVersion());
-    world.publish(new UpstreamList(List.of(leaving)));
+    simulation.publish(new UpstreamList(List.of(leaving)));
 
-    breakUnder(one, CrashSimulation.upstream(2));
+    loseConnections(one, CrashSimulation.upstream(2));
 
     assertThat(guard.crashCount(CrashSimulation.REQUEST)).isEqualTo(0);
   }
@@ -62,18 +62,18 @@
   // A request is repeated while the third upstream is still being probed. It waits for the probe; a
   // request without crashes does not.
   @Test
-  void repeatWaitsOnlyForWhatDecides() {
+  void repeatedRequestWaitsOnlyForDecisiveProbe() {
     CompletableFuture<Boolean> ended = new CompletableFuture<>();
     CrashGuard slow =
         new CrashGuard(
             CrashSimulation.instance(0),
             List::of,
             (message, to) -> {},
-            world.table,
-            world.storeClock,
+            simulation.table,
+            simulation.storeClock,
             upstream -> ended,
             upstream -> listOfAll().read().isAccepting(upstream),
-            world.timers,
+            simulation.timers,
             new SplittableRandom(1));
     slow.onConnectionLost(CrashSimulation.REQUEST, CrashSimulation.upstream(1));
     assertThat(slow.awaitProbes(CrashSimulation.REQUEST, 3).isDone()).isTrue();
@@ -92,17 +92,17 @@
   // The upstreams are partitioned and do not answer probes. A request does not wait for them until
   // its own deadline, and an unknown result does not count as a crash.
   @Test
-  void repeatDoesNotWaitForUpstreamsThatShowNothing() {
+  void repeatedRequestDoesNotWaitForPartitionedUpstreams() {
     CrashGuard blind =
         new CrashGuard(
             CrashSimulation.instance(0),
             List::of,
             (message, to) -> {},
-            world.table,
-            world.storeClock,
+            simulation.table,
+            simulation.storeClock,
             upstream -> new CompletableFuture<>(),
             upstream -> listOfAll().read().isAccepting(upstream),
-            world.timers,
+            simulation.timers,
             new SplittableRandom(1));
     IntStream.range(0, 3)
         .forEach(
@@ -110,7 +110,7 @@
                 blind.onConnectionLost(CrashSimulation.REQUEST, CrashSimulation.upstream(number)));
 
     CompletableFuture<Void> settled = blind.awaitProbes(CrashSimulation.REQUEST, 3);
-    world.timers.advanceMs(200);
+    simulation.timers.advanceMs(200);
 
     assertThat(settled.isDone()).isTrue();
     assertThat(blind.crashCount(CrashSimulation.REQUEST)).isEqualTo(0);
@@ -123,24 +123,24 @@
 
   // A request that has succeeded somewhere is served again at all instances.
   @Test
-  void goodRunIsToldToTheOthers() {
+  void successfulRunIsBroadcast() {
     CrashSimulation fleet = new CrashSimulation(8, 0, 1);
     fleet.timers.advanceMs(2_000);
     IntStream.range(0, 3).forEach(upstream -> fleet.crash(0, upstream));
     fleet.timers.advanceMs(1_000);
-    assertThat(fleet.refusingCount()).isEqualTo(8);
+    assertThat(fleet.quarantiningCount()).isEqualTo(8);
 
     fleet.guard(3).onSuccess(CrashSimulation.REQUEST);
     fleet.timers.advanceMs(1_000);
 
-    assertThat(fleet.refusingCount()).isEqualTo(0);
+    assertThat(fleet.quarantiningCount()).isEqualTo(0);
   }
 
   // A caller sends ten thousand different requests that each crash an upstream. The number of
   // records stays bounded, and the record of another request with three crashes is kept.
   @Test
-  void manyRequestsOfOneCallerDoNotPushOutWhatCounts() {
-    breakUnder(
+  void manyRequestsOfOneCallerDoNotEvictQuarantinedOne() {
+    loseConnections(
         CrashSimulation.upstream(1), CrashSimulation.upstream(2), CrashSimulation.upstream(3));
 
     IntStream.range(0, 10_000)
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashRecordTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashRecordTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void isRefusedAfterThreeUpstreamsHaveEnded() {
+  void isQuarantinedAfterThreeCrashes() {
     assertThat(record(crash("i-1@0", 0), crash("i-2@0", 1)).isQuarantined(NOW_MS)).isFalse();
     assertThat(threeCrashes().isQuarantined(NOW_MS)).isTrue();
   }
@@ -38,7 +38,7 @@
   // Several instances had the request running at the same upstream, or a report was duplicated: it
   // is one crash.
   @Test
-  void countsEachEndOnce() {
+  void countsEachCrashOnce() {
     CrashRecord record = record(crash("i-1@0", 500), crash("i-1@0", 520), crash("i-1@0", 500));
 
     assertThat(record.countAt(NOW_MS)).isEqualTo(1);
@@ -46,7 +46,7 @@
 
   // An upstream that does not report its start time restarts under the same name and crashes again.
   @Test
-  void countsLaterEndOfTheSameName() {
+  void countsLaterCrashOfTheSameName() {
     CrashRecord record =
         record(crash("i-1@0", 1_000), crash("i-1@0", 5_000), crash("i-1@0", 9_000));
 
@@ -55,7 +55,7 @@
 
   // A successful run shows that the request did not cause the earlier crashes.
   @Test
-  void isServedAgainAfterOneGoodRun() {
+  void isServedAgainAfterSuccessfulRun() {
     CrashRecord cleared = threeCrashes().cleared(NOW_MS + 1);
 
     assertThat(cleared.isQuarantined(NOW_MS + 1)).isFalse();
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void crashesAfterTheGoodRunCountAnew() {
+  void crashesAfterSuccessfulRunCountFromZero() {
     CrashRecord cleared = threeCrashes().cleared(NOW_MS + 1);
 
     assertThat(cleared.with(crash("i-4@0", NOW_MS + 2)).countAt(NOW_MS + 2)).isEqualTo(1);
@@ -72,7 +72,7 @@
   // The request may be sent once the quarantine is over; one more crash starts the quarantine
   // again.
   @Test
-  void oneMoreCrashAfterTheQuarantineBringsItBack() {
+  void oneMoreCrashAfterTheQuarantineRestartsIt() {
     long laterMs = NOW_MS + CrashRecord.QUARANTINE_MS;
 
     assertThat(threeCrashes().retryAfterMs(NOW_MS)).isEqualTo(CrashRecord.QUARANTINE_MS);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void isForgottenInTheEnd() {
+  void expires() {
     assertThat(threeCrashes().isExpired(NOW_MS + CrashRecord.QUARANTINE_MS)).isFalse();
     assertThat(threeCrashes().isExpired(NOW_MS + 3 * CrashRecord.QUARANTINE_MS)).isTrue();
   }
@@ -89,7 +89,7 @@
   // Reports arrive late, duplicated and in any order. All instances that have received the same
   // reports must have equal records.
   @Property(tries = 300, seed = "27003")
-  void anyOrderOfReportsLeadsToTheSame(
+  void anyOrderOfReportsLeadsToTheSameRecord(
       @ForAll @Size(max = 8) List<@IntRange(min = 1, max = 5) Integer> upstreams,
       @ForAll @IntRange(max = 9) int clearedS) {
     List<CrashRecord> reports =
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
@@ -38,11 +38,11 @@
   final FakeTable table = new FakeTable(timers);
   final StoreClock storeClock = new SteadyStoreClock(timers);
   private final Map<String, Object> processes = new HashMap<>();
-  private final Set<String> cutOff = new HashSet<>();
+  private final Set<String> partitioned = new HashSet<>();
   private final PublishedValue<UpstreamList> upstreams = new PublishedValue<>(UpstreamList.empty());
   private final SplittableRandom random;
   private final double lossShare;
-  private boolean upstreamsEnd = true;
+  private boolean upstreamsTerminate = true;
   long datagramCount;
 
   CrashSimulation(int instanceCount, double lossShare, long seed) {
@@ -92,14 +92,14 @@
             },
             table,
             storeClock,
-            upstream -> CompletableFuture.completedFuture(upstreamsEnd),
+            upstream -> CompletableFuture.completedFuture(upstreamsTerminate),
             upstream -> upstreams.read().isAccepting(upstream),
             timers,
             random));
   }
 
-  void upstreamsGoOn() {
-    upstreamsEnd = false;
+  void keepUpstreamsRunning() {
+    upstreamsTerminate = false;
   }
 
   void publish(UpstreamList list) {
@@ -110,18 +110,18 @@
     return guards.get("edge-" + number);
   }
 
-  void cutOff(int number) {
-    cutOff.add("edge-" + number);
+  void partition(int number) {
+    partitioned.add("edge-" + number);
   }
 
-  void heal() {
-    cutOff.clear();
+  void reconnect() {
+    partitioned.clear();
   }
 
   private void deliver(InstanceRecord from, InstanceRecord to, CrashMessage message) {
     datagramCount++;
     boolean lost = random.nextDouble() < lossShare;
-    if (lost || cutOff.contains(from.id()) || cutOff.contains(to.id())) {
+    if (lost || partitioned.contains(from.id()) || partitioned.contains(to.id())) {
       return;
     }
     long delayMs = random.nextInt(MIN_DELAY_MS, MAX_DELAY_MS + 1);
@@ -134,11 +134,11 @@
     guard(instance).onConnectionLost(REQUEST, upstream(upstream));
   }
 
-  boolean refuses(int instance) {
+  boolean isQuarantinedAt(int instance) {
     return guard(instance).crashCount(REQUEST) >= CrashRecord.MAX_CRASHES;
   }
 
-  long refusingCount() {
+  long quarantiningCount() {
     return guards.values().stream()
         .filter(guard -> guard.crashCount(REQUEST) >= CrashRecord.MAX_CRASHES)
         .count();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/QuarantineTableTest.java
@@ -19,97 +19,97 @@
   private static final int INSTANCES = 8;
 
   /** After this time no message about the crashes is in transit. */
-  private static final long TOLD_MS = 3_000;
+  private static final long DELIVERED_MS = 3_000;
 
-  private final CrashSimulation world = new CrashSimulation(INSTANCES, 0, 1);
+  private final CrashSimulation simulation = new CrashSimulation(INSTANCES, 0, 1);
 
-  private void crashThree() {
-    world.timers.advanceMs(2_000);
-    IntStream.range(0, 3).forEach(upstream -> world.crash(upstream, upstream));
-    world.timers.advanceMs(TOLD_MS);
+  private void crashThreeUpstreams() {
+    simulation.timers.advanceMs(2_000);
+    IntStream.range(0, 3).forEach(upstream -> simulation.crash(upstream, upstream));
+    simulation.timers.advanceMs(DELIVERED_MS);
   }
 
   private void replaceAll() {
-    IntStream.range(0, INSTANCES).mapToObj(CrashSimulation::instance).forEach(world::start);
+    IntStream.range(0, INSTANCES).mapToObj(CrashSimulation::instance).forEach(simulation::start);
   }
 
   @Test
-  void newProcessesKnowWhatWasRefused() {
-    crashThree();
+  void newProcessesReadTheQuarantine() {
+    crashThreeUpstreams();
     replaceAll();
 
-    world.timers.advanceMs(100);
+    simulation.timers.advanceMs(100);
 
-    assertThat(world.refusingCount()).isEqualTo(INSTANCES);
+    assertThat(simulation.quarantiningCount()).isEqualTo(INSTANCES);
   }
 
   // The store is unreachable when the third upstream crashes, and reachable again before the power
   // loss.
   @Test
-  void writesOnceTheStoreIsBack() {
-    world.timers.advanceMs(2_000);
-    world.table.faults().setFault(Fault.DOWN);
-    crashThree();
-    world.table.faults().setFault(Fault.NONE);
-    world.timers.advanceMs(1_000);
+  void writesOnceTheStoreIsReachable() {
+    simulation.timers.advanceMs(2_000);
+    simulation.table.faults().setFault(Fault.DOWN);
+    crashThreeUpstreams();
+    simulation.table.faults().setFault(Fault.NONE);
+    simulation.timers.advanceMs(1_000);
     replaceAll();
 
-    world.timers.advanceMs(100);
+    simulation.timers.advanceMs(100);
 
-    assertThat(world.refusingCount()).isEqualTo(INSTANCES);
+    assertThat(simulation.quarantiningCount()).isEqualTo(INSTANCES);
   }
 
   // The store is unreachable when the processes start; they read the table once it is reachable.
   @Test
-  void readsOnceTheStoreIsBack() {
-    crashThree();
-    world.table.faults().setFault(Fault.DOWN);
+  void readsOnceTheStoreIsReachable() {
+    crashThreeUpstreams();
+    simulation.table.faults().setFault(Fault.DOWN);
     replaceAll();
-    world.timers.advanceMs(2_000);
-    assertThat(world.refusingCount()).isEqualTo(0);
+    simulation.timers.advanceMs(2_000);
+    assertThat(simulation.quarantiningCount()).isEqualTo(0);
 
-    world.table.faults().setFault(Fault.NONE);
-    world.timers.advanceMs(1_000);
+    simulation.table.faults().setFault(Fault.NONE);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.refusingCount()).isEqualTo(INSTANCES);
+    assertThat(simulation.quarantiningCount()).isEqualTo(INSTANCES);
   }
 
   // Another program has written its own rows before and after the valid one.
   @Test
-  void rowsOfOtherProgramsArePassedOver() {
-    crashThree();
+  void ignoresRowsOfOtherPrograms() {
+    crashThreeUpstreams();
     for (String key : List.of("0", "zz")) {
       Row absent = Row.absent(new RowKey(QuarantineTable.TABLE, key));
       Cells foreign = Cells.empty().with("high", "no number").with("incarnation-0", 7);
-      assertThat(world.table.write(Transaction.on(absent, foreign)).join()).isTrue();
+      assertThat(simulation.table.write(Transaction.on(absent, foreign)).join()).isTrue();
     }
     replaceAll();
 
-    world.timers.advanceMs(100);
+    simulation.timers.advanceMs(100);
 
-    assertThat(world.refusingCount()).isEqualTo(INSTANCES);
+    assertThat(simulation.quarantiningCount()).isEqualTo(INSTANCES);
   }
 
   @Test
-  void goodRunTakesTheRowAway() {
-    crashThree();
-    world.guard(4).onSuccess(CrashSimulation.REQUEST);
-    world.timers.advanceMs(1_000);
+  void successfulRunDeletesTheRow() {
+    crashThreeUpstreams();
+    simulation.guard(4).onSuccess(CrashSimulation.REQUEST);
+    simulation.timers.advanceMs(1_000);
     replaceAll();
 
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.refusingCount()).isEqualTo(0);
+    assertThat(simulation.quarantiningCount()).isEqualTo(0);
   }
 
   @Test
-  void oldRowIsTakenAwayByTheNextProcess() {
-    crashThree();
-    world.timers.advanceMs(3 * CrashRecord.QUARANTINE_MS);
+  void nextProcessDeletesOldRow() {
+    crashThreeUpstreams();
+    simulation.timers.advanceMs(3 * CrashRecord.QUARANTINE_MS);
     replaceAll();
-    world.timers.advanceMs(1_000);
+    simulation.timers.advanceMs(1_000);
 
-    assertThat(world.refusingCount()).isEqualTo(0);
-    assertThat(world.table.scan(QuarantineTable.TABLE, "", "", 10).join()).isEmpty();
+    assertThat(simulation.quarantiningCount()).isEqualTo(0);
+    assertThat(simulation.table.scan(QuarantineTable.TABLE, "", "", 10).join()).isEmpty();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
@@ -18,70 +18,70 @@
 
   private static final long STEP_MS = 250;
   private static final int STEPS = 240;
-  private static final long SPAN_MS = 4_000;
+  private static final long WINDOW_MS = 4_000;
 
   /** After this time an instance that has reported an answer enforces the limit. */
-  private static final long TAKEN_IN_MS = 500;
+  private static final long APPLIED_AFTER_MS = 500;
 
   /** A limit allows a few requests per window, however low it is. */
-  private static final double LEAST_MOST = 4;
+  private static final double MIN_WINDOW_REQUESTS = 4;
 
   private static final double[] LIMITS_PER_S = {0, 0.2, 1, 1.4, 3, 20, 500};
 
   @Property(tries = 200, seed = "41001")
   void eightInstancesKeepTheLimit(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    play(seed, 8);
+    simulate(seed, 8);
   }
 
   @Property(tries = 100, seed = "41002")
   void sixtyInstancesKeepTheLimit(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    play(seed, 62);
+    simulate(seed, 62);
   }
 
-  private static void play(long seed, int count) {
+  private static void simulate(long seed, int count) {
     Random random = new Random(seed);
     ManualTimers timers = new ManualTimers();
-    RateLimitSimulation world = new RateLimitSimulation(timers, random, count);
+    RateLimitSimulation simulation = new RateLimitSimulation(timers, random, count);
     Deque<Long> sentMs = new ArrayDeque<>();
     double limitPerS = Double.MAX_VALUE;
     for (int step = 0; step < STEPS; step++) {
-      disturb(world, random, count);
+      injectFault(simulation, random, count);
       if (random.nextInt(40) == 0) {
-        limitPerS = next(world, random);
+        limitPerS = next(simulation, random);
         sentMs.clear();
       }
-      world.instances().stream()
+      simulation.instances().stream()
           .filter(instance -> random.nextInt(1 + count / 6) == 0)
           .forEach(instance -> instance.member().read());
-      sendAll(world, limitPerS, timers.nowMs(), sentMs);
+      sendAll(simulation, limitPerS, timers.nowMs(), sentMs);
       timers.advanceMs(STEP_MS);
     }
   }
 
-  private static double next(RateLimitSimulation world, Random random) {
+  private static double next(RateLimitSimulation simulation, Random random) {
     int choice = random.nextInt(LIMITS_PER_S.length + 1);
     if (choice == LIMITS_PER_S.length) {
-      world.name(OptionalDouble.empty());
+      simulation.announce(OptionalDouble.empty());
       return Double.MAX_VALUE;
     }
-    world.name(OptionalDouble.of(LIMITS_PER_S[choice]));
+    simulation.announce(OptionalDouble.of(LIMITS_PER_S[choice]));
     return LIMITS_PER_S[choice];
   }
 
-  private static void disturb(RateLimitSimulation world, Random random, int count) {
-    List<RateLimitSimulation.Instance> instances = world.instances();
+  private static void injectFault(RateLimitSimulation simulation, Random random, int count) {
+    List<RateLimitSimulation.Instance> instances = simulation.instances();
     RateLimitSimulation.Instance one = instances.get(random.nextInt(instances.size()));
     String id = one.member().self().id();
     switch (random.nextInt(12)) {
-      case 0 -> one.member().cutOff();
+      case 0 -> one.member().partition();
       case 1, 2, 3 -> one.member().reconnect();
-      case 4 -> world.start(id, domainOf(one));
+      case 4 -> simulation.start(id, domainOf(one));
       case 5 -> {
         if (instances.size() > count / 2) {
-          world.stop(id);
+          simulation.stop(id);
         }
       }
-      case 6 -> world.start("edge-" + random.nextInt(2 * count), random.nextInt(4));
+      case 6 -> simulation.start("edge-" + random.nextInt(2 * count), random.nextInt(4));
       default -> {}
     }
   }
@@ -92,12 +92,12 @@
   }
 
   private static void sendAll(
-      RateLimitSimulation world, double limitPerS, long nowMs, Deque<Long> sentMs) {
-    while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() >= SPAN_MS) {
+      RateLimitSimulation simulation, double limitPerS, long nowMs, Deque<Long> sentMs) {
+    while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() >= WINDOW_MS) {
       sentMs.pollFirst();
     }
-    for (RateLimitSimulation.Instance instance : world.instances()) {
-      boolean told = instance.toldAgoMs() >= TAKEN_IN_MS;
+    for (RateLimitSimulation.Instance instance : simulation.instances()) {
+      boolean told = instance.receivedAgoMs() >= APPLIED_AFTER_MS;
       int sent = instance.send();
       if (told) {
         for (int number = 0; number < sent; number++) {
@@ -107,6 +107,6 @@
     }
     assertWithMessage("sent in a span by %s, limit %s", nowMs, limitPerS)
         .that((double) sentMs.size())
-        .isAtMost(Math.max(LEAST_MOST, limitPerS * SPAN_MS / 1_000));
+        .isAtMost(Math.max(MIN_WINDOW_REQUESTS, limitPerS * WINDOW_MS / 1_000));
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitsTest.java
@@ -20,16 +20,16 @@
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "konya", 1);
   private final PublishedValue<UpstreamList> list =
       new PublishedValue<>(new UpstreamList(List.of(upstream)));
-  private final List<RateLimitReport> told = new ArrayList<>();
+  private final List<RateLimitReport> reports = new ArrayList<>();
   private final AnnouncedRateLimits limits =
-      new AnnouncedRateLimits(List::of, (report, to) -> told.add(report), list, timers);
+      new AnnouncedRateLimits(List::of, (report, to) -> reports.add(report), list, timers);
 
   private void answer(long sentMs, OptionalDouble limitPerS) {
     limits.onAnswer(upstream, sentMs, limitPerS);
   }
 
   @Test
-  void limitHoldsForAsLongAsAnswersNameIt() {
+  void limitHoldsWhileAnswersAnnounceIt() {
     answer(timers.nowMs(), OptionalDouble.of(1.4));
     assertThat(limits.limitedCount()).isEqualTo(1);
 
@@ -52,37 +52,37 @@
   }
 
   @Test
-  void allowsWhatTheLimitAllowsInFourSeconds() {
+  void enforcesLimitOverFourSeconds() {
     answer(timers.nowMs(), OptionalDouble.of(1.4));
 
     assertThat(limits.find(upstream)).isEqualTo(Optional.of(new RateLimit(5, 4_000, 0, 4_000)));
   }
 
   @Test
-  void keepsSmallLimitOverLongerSpan() {
+  void enforcesLowLimitOverLongerWindow() {
     answer(timers.nowMs(), OptionalDouble.of(0.2));
 
     assertThat(limits.find(upstream)).isEqualTo(Optional.of(new RateLimit(2, 10_000, 0, 4_000)));
   }
 
   @Test
-  void limitOfNothingAllowsNothing() {
+  void limitOfZeroAllowsNothing() {
     answer(timers.nowMs(), OptionalDouble.of(0));
 
     assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(0);
     assertThat(limits.retryAfterMs(upstream)).isEqualTo(4_000);
   }
 
-  private static RateLimitReport naming(double limitPerS) {
+  private static RateLimitReport announcing(double limitPerS) {
     return new RateLimitReport("i-1@1", OptionalDouble.of(limitPerS));
   }
 
-  private static RateLimitReport over() {
+  private static RateLimitReport ended() {
     return new RateLimitReport("i-1@1", OptionalDouble.empty());
   }
 
   @Test
-  void tellsOthersWhenTheLimitBeginsChangesAndEnds() {
+  void reportsBeginChangeAndEndOfLimit() {
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(600);
     answer(timers.nowMs(), OptionalDouble.of(2));
@@ -90,67 +90,67 @@
     answer(timers.nowMs(), OptionalDouble.empty());
     timers.advanceMs(600);
 
-    assertThat(told).containsExactly(naming(1), naming(2), over()).inOrder();
+    assertThat(reports).containsExactly(announcing(1), announcing(2), ended()).inOrder();
   }
 
   // An instance that misses the end of the limit would not send to the upstream for a long time.
   @Test
-  void tellsTheEndTwice() {
+  void reportsTheEndTwice() {
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(1);
     answer(timers.nowMs(), OptionalDouble.empty());
-    told.clear();
+    reports.clear();
 
     timers.advanceMs(3_000);
 
-    assertThat(told).containsExactly(over());
+    assertThat(reports).containsExactly(ended());
   }
 
   // An upstream whose limit follows its load announces another one in each answer.
   @Test
-  void limitThatChangesAllTheTimeIsToldTwiceInSecond() {
+  void constantlyChangingLimitIsReportedTwicePerSecond() {
     for (int answers = 0; answers < 100; answers++) {
       answer(timers.nowMs(), OptionalDouble.of(1 + answers / 100.0));
       timers.advanceMs(10);
     }
 
-    assertThat(told).hasSize(2);
+    assertThat(reports).hasSize(2);
   }
 
   // An upstream announces a limit in every other answer.
   @Test
-  void limitThatComesAndGoesIsToldWithinBounds() {
+  void alternatingLimitIsReportedWithinLimits() {
     for (int answers = 0; answers < 900; answers++) {
       answer(timers.nowMs(), OptionalDouble.of(1));
       timers.advanceMs(1);
       answer(timers.nowMs(), OptionalDouble.empty());
     }
 
-    assertThat(told.size()).isAtMost(20);
+    assertThat(reports.size()).isAtMost(20);
   }
 
   @Test
-  void limitThatOthersHaveHeardOfHoldsHereToo() {
-    limits.onReport(naming(1));
+  void reportedLimitHoldsHereToo() {
+    limits.onReport(announcing(1));
     assertThat(limits.find(upstream)).isPresent();
 
     timers.advanceMs(2_001);
-    limits.onReport(over());
+    limits.onReport(ended());
     assertThat(limits.find(upstream)).isEmpty();
   }
 
   // The report was sent before the upstream announced its limit, and arrived late.
   @Test
-  void reportThatAllowsMoreDoesNotCountAgainstWhatWasJustHeard() {
+  void reportThatAllowsMoreDoesNotOverrideRecentAnnouncement() {
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(2_000);
 
-    limits.onReport(over());
-    limits.onReport(naming(500));
+    limits.onReport(ended());
+    limits.onReport(announcing(500));
     assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(4);
 
     timers.advanceMs(1);
-    limits.onReport(naming(500));
+    limits.onReport(announcing(500));
     assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(2_000);
   }
 
@@ -158,13 +158,13 @@
   void reportThatAllowsLessCountsAtOnce() {
     answer(timers.nowMs(), OptionalDouble.of(500));
 
-    limits.onReport(naming(1));
+    limits.onReport(announcing(1));
 
     assertThat(limits.find(upstream).orElseThrow().maxRequests()).isEqualTo(4);
   }
 
   @Test
-  void reportAboutAnEarlierProcessIsPassedOver() {
+  void ignoresReportAboutEarlierProcess() {
     limits.onReport(new RateLimitReport("i-1@0", OptionalDouble.of(1)));
 
     assertThat(limits.limitedCount()).isEqualTo(0);
@@ -172,7 +172,7 @@
 
   // Entries expire while the store is unreachable, and return unchanged afterwards.
   @Test
-  void limitOutlastsAnEntryThatLapses() {
+  void limitOutlastsExpiredEntry() {
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(12_000);
 
@@ -183,7 +183,7 @@
   }
 
   @Test
-  void limitOfAnUpstreamThatHasGoneIsForgotten() {
+  void limitOfUnregisteredUpstreamIsRemoved() {
     answer(timers.nowMs(), OptionalDouble.of(1));
     timers.advanceMs(60_001);
 
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void countsWhatAnUpstreamGetsSinceItNamedItsLimit() {
+  void countsRequestsSentSinceTheAnnouncement() {
     limits.onSent(upstream);
     answer(timers.nowMs(), OptionalDouble.of(1));
 
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void limitEndsWithTheProcessThatNamedIt() {
+  void limitEndsWithTheProcessThatAnnouncedIt() {
     answer(timers.nowMs(), OptionalDouble.of(1));
 
     list.publish(new UpstreamList(List.of(TestUpstreams.started("i-1", "konya", 2))));
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
@@ -23,7 +23,7 @@
   static final int DOMAINS = 4;
 
   /** An instance that knows of no limit sends one request per step. */
-  private static final int UNBOUNDED_SENDS = 1;
+  private static final int UNLIMITED_SENDS = 1;
 
   private static final int LOST_ONE_IN = 4;
   private static final int MAX_DELAY_MS = 400;
@@ -31,12 +31,12 @@
   private final ManualTimers timers;
   private final Random random;
   private final SimulatedFleet fleet;
-  private final Map<String, Instance> living = new TreeMap<>();
+  private final Map<String, Instance> running = new TreeMap<>();
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
-  private Saying saying = new Saying(0, OptionalDouble.empty());
+  private Announcement announcement = new Announcement(0, OptionalDouble.empty());
 
   /** An announcement of the upstream. */
-  private record Saying(int number, OptionalDouble limitPerS) {}
+  private record Announcement(int number, OptionalDouble limitPerS) {}
 
   RateLimitSimulation(ManualTimers timers, Random random, int count) {
     this.timers = timers;
@@ -50,26 +50,26 @@
 
   Instance start(String id, int domain) {
     Instance instance = new Instance(fleet.start(id, "domain-" + domain));
-    living.put(id, instance);
+    running.put(id, instance);
     return instance;
   }
 
   void stop(String id) {
-    living.remove(id);
+    running.remove(id);
     fleet.stop(id);
   }
 
   List<Instance> instances() {
-    return List.copyOf(living.values());
+    return List.copyOf(running.values());
   }
 
   /** Changes or removes the limit that the upstream announces in its next answers. */
-  void name(OptionalDouble newLimitPerS) {
-    saying = new Saying(saying.number() + 1, newLimitPerS);
+  void announce(OptionalDouble newLimitPerS) {
+    announcement = new Announcement(announcement.number() + 1, newLimitPerS);
   }
 
   private void deliver(Instance from, RateLimitReport report, List<InstanceRecord> to) {
-    if (from.member.isCutOff()) {
+    if (from.member.isPartitioned()) {
       return;
     }
     to.stream()
@@ -77,11 +77,11 @@
         .forEach(
             told ->
                 timers.after(
-                    random.nextInt(MAX_DELAY_MS), () -> hear(living.get(told.id()), report)));
+                    random.nextInt(MAX_DELAY_MS), () -> receive(running.get(told.id()), report)));
   }
 
-  private static void hear(Instance instance, RateLimitReport report) {
-    if (instance != null && !instance.member.isCutOff()) {
+  private static void receive(Instance instance, RateLimitReport report) {
+    if (instance != null && !instance.member.isPartitioned()) {
       instance.limits.onReport(report);
     }
   }
@@ -92,8 +92,8 @@
     private final SimulatedFleet.Member member;
     private final AnnouncedRateLimits limits;
     private final SendPermits permits;
-    private int toldNumber;
-    private long toldMs;
+    private int receivedNumber;
+    private long receivedMs;
 
     private Instance(SimulatedFleet.Member member) {
       this.member = member;
@@ -111,32 +111,32 @@
     }
 
     /** Checks whether it knows of a limit. */
-    boolean isBounded() {
+    boolean isLimited() {
       return limits.find(upstream).isPresent();
     }
 
     /** Returns the time since it first received the current announcement in an answer. */
-    long toldAgoMs() {
-      return toldNumber == saying.number() ? timers.nowMs() - toldMs : 0;
+    long receivedAgoMs() {
+      return receivedNumber == announcement.number() ? timers.nowMs() - receivedMs : 0;
     }
 
     /** Sends as many requests as permitted and returns their number. */
     int send() {
       int sent = 0;
-      while ((isBounded() || sent < UNBOUNDED_SENDS) && permits.tryAcquire(upstream)) {
+      while ((isLimited() || sent < UNLIMITED_SENDS) && permits.tryAcquire(upstream)) {
         sent++;
-        await(timers.nowMs(), saying);
+        await(timers.nowMs(), announcement);
       }
       return sent;
     }
 
-    private void await(long sentMs, Saying answered) {
+    private void await(long sentMs, Announcement answered) {
       timers.after(
           random.nextInt(MAX_DELAY_MS),
           () -> {
-            if (toldNumber < answered.number()) {
-              toldNumber = answered.number();
-              toldMs = timers.nowMs();
+            if (receivedNumber < answered.number()) {
+              receivedNumber = answered.number();
+              receivedMs = timers.nowMs();
             }
             limits.onAnswer(upstream, sentMs, answered.limitPerS());
           });
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
@@ -12,15 +12,15 @@
 
 class SendPermitsTest {
 
-  private static final long SPAN_MS = 4_000;
-  private static final long WAIT_MS = 4_000;
+  private static final long WINDOW_MS = 4_000;
+  private static final long TAKEOVER_DELAY_MS = 4_000;
   private static final int INSTANCES = 8;
 
   private final ManualTimers timers = new ManualTimers();
   private final SimulatedFleet fleet = new SimulatedFleet(timers);
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
-  private int most = 4;
-  private long heardMs = timers.nowMs();
+  private int maxRequests = 4;
+  private long confirmedMs = timers.nowMs();
 
   private record Sender(SimulatedFleet.Member member, SendPermits permits) {}
 
@@ -31,17 +31,16 @@
             .toList();
     fleet.settle();
     return members.stream()
-        .map(
-            member ->
-                new Sender(member, new SendPermits(member.self(), member, allowances(), timers)))
+        .map(member -> new Sender(member, new SendPermits(member.self(), member, limits(), timers)))
         .toList();
   }
 
-  private RateLimits allowances() {
+  private RateLimits limits() {
     return new RateLimits() {
       @Override
       public Optional<RateLimit> find(RegisteredUpstream asked) {
-        return Optional.of(new RateLimit(most, SPAN_MS, timers.nowMs() - heardMs, WAIT_MS));
+        return Optional.of(
+            new RateLimit(maxRequests, WINDOW_MS, timers.nowMs() - confirmedMs, TAKEOVER_DELAY_MS));
       }
 
       @Override
@@ -68,10 +67,10 @@
   }
 
   @Test
-  void halfOfSmallLimitIsSentByOneInstanceOfTheDomain() {
+  void oneInstanceOfTheDomainUsesHalfOfLowLimit() {
     List<Sender> senders = start();
     takeAll(senders);
-    timers.advanceMs(WAIT_MS);
+    timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender sender = senderAmong(senders);
 
@@ -83,26 +82,26 @@
   // A limit far above the load of the callers must not make the upstream unavailable to most of
   // them.
   @Test
-  void largeLimitIsSharedByAllInstances() {
-    most = 2_000;
+  void highLimitIsSplitBetweenAllInstances() {
+    maxRequests = 2_000;
 
     start().forEach(sender -> assertThat(takeAll(sender)).isAtLeast(40));
   }
 
   // All upstreams of a service announce limits at the same time, far above the requests they get.
   @Test
-  void nobodyWaitsUnderLargeLimit() {
-    most = 2_000;
+  void noInstanceWaitsUnderHighLimit() {
+    maxRequests = 2_000;
 
     assertThat(takeAll(start())).isEqualTo(1_000);
   }
 
   // The instance that was sending terminated right after its last request.
   @Test
-  void successorWaitsUntilWhatWasSentBeforeHasLeftTheSpan() {
+  void successorWaitsUntilEarlierRequestsAreOutsideTheWindow() {
     List<Sender> senders = start();
     takeAll(senders);
-    timers.advanceMs(WAIT_MS);
+    timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender first = senderAmong(senders);
     assertThat(takeAll(senders)).isEqualTo(2);
@@ -111,7 +110,7 @@
     left.forEach(sender -> sender.member().read());
 
     assertThat(takeAll(left)).isEqualTo(0);
-    timers.advanceMs(SPAN_MS - 1);
+    timers.advanceMs(WINDOW_MS - 1);
     left.forEach(sender -> sender.member().read());
     assertThat(takeAll(left)).isEqualTo(0);
     timers.advanceMs(1);
@@ -121,8 +120,8 @@
   // While the store is unreachable no instance knows the fleet; a large limit must not stop all
   // service then.
   @Test
-  void silentStoreLeavesLargeLimitToAll() {
-    most = 2_000;
+  void highLimitIsSplitWhileTheStoreIsUnreachable() {
+    maxRequests = 2_000;
     List<Sender> senders = start();
 
     timers.advanceMs(SimulatedFleet.currentMs(INSTANCES) + 1);
@@ -132,8 +131,8 @@
 
   // With a limit of zero no instance sends, so no answer would ever show that the limit has ended.
   @Test
-  void oneInstanceAfterTheOtherAsksWhenNobodyHasHeardForLong() {
-    most = 0;
+  void oneInstanceAfterTheOtherProbesWithoutRecentAnswers() {
+    maxRequests = 0;
     List<Sender> senders = start();
     assertThat(takeAll(senders)).isEqualTo(0);
 
@@ -142,7 +141,7 @@
     timers.advanceMs(2_000);
     assertThat(takeAll(senders)).isEqualTo(1);
 
-    heardMs = timers.nowMs();
+    confirmedMs = timers.nowMs();
     timers.advanceMs(9_999);
     assertThat(takeAll(senders)).isEqualTo(0);
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
@@ -13,10 +13,10 @@
   /** Average number of rows that an instance reads per second. */
   private static final int ROWS_PER_S = 6;
 
-  private static final long LATE_READ_MS = 2_000;
+  private static final long MAX_READ_DELAY_MS = 2_000;
 
   private final ManualTimers timers;
-  private final Map<String, Member> living = new TreeMap<>();
+  private final Map<String, Member> running = new TreeMap<>();
 
   /** Creates an empty fleet. */
   public SimulatedFleet(ManualTimers timers) {
@@ -25,25 +25,25 @@
 
   /** Returns for how long a view of some number of instances is current. */
   public static long currentMs(int count) {
-    return count * 1_000L / ROWS_PER_S + LATE_READ_MS;
+    return count * 1_000L / ROWS_PER_S + MAX_READ_DELAY_MS;
   }
 
   /** Starts an instance and replaces the one that had its id. */
   public Member start(String id, String domain) {
     Member member = new Member(new InstanceRecord(id, id, domain, "10.0.0.1", 1, false));
-    living.put(id, member);
+    running.put(id, member);
     return member;
   }
 
   /** Stops an instance. */
   public void stop(String id) {
-    living.remove(id);
+    running.remove(id);
   }
 
   /** Lets all instances read each other, as after hours without changes. */
   public void settle() {
-    living.values().forEach(member -> member.startedMs = timers.nowMs() - 3_600_000);
-    living.values().forEach(Member::read);
+    running.values().forEach(member -> member.startedMs = timers.nowMs() - 3_600_000);
+    running.values().forEach(Member::read);
   }
 
   /** One instance and its view of the others. */
@@ -53,7 +53,7 @@
     private List<InstanceRecord> others = List.of();
     private long startedMs = timers.nowMs();
     private long readMs = startedMs;
-    private boolean cutOff;
+    private boolean partitioned;
 
     private Member(InstanceRecord self) {
       this.self = self;
@@ -65,29 +65,32 @@
     }
 
     /** Partitions the instance from the store and from the others. */
-    public void cutOff() {
-      cutOff = true;
+    public void partition() {
+      partitioned = true;
     }
 
     /** Ends the partition. */
     public void reconnect() {
-      cutOff = false;
+      partitioned = false;
     }
 
     /** Checks whether the instance is partitioned. */
-    public boolean isCutOff() {
-      return cutOff;
+    public boolean isPartitioned() {
+      return partitioned;
     }
 
     /** Reads the rows of the instances that renew theirs. */
     public void read() {
-      if (cutOff) {
+      if (partitioned) {
         return;
       }
       readMs = timers.nowMs();
       others =
-          new ArrayList<>(living.values())
-              .stream().filter(other -> !other.cutOff && other != this).map(Member::self).toList();
+          new ArrayList<>(running.values())
+              .stream()
+                  .filter(other -> !other.partitioned && other != this)
+                  .map(Member::self)
+                  .toList();
     }
 
     @Override
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
@@ -67,13 +67,13 @@
   }
 
   @Test
-  void keysLeadToTheirTeam() {
+  void findsTeamByKey() {
     assertThat(plan.findTeamByKey("b").orElseThrow().name()).isEqualTo("branch");
     assertThat(plan.findTeamByKey("c").isPresent()).isFalse();
   }
 
   @Test
-  void thePlanBeforeTheFirstIsNotKnown() {
+  void initialPlanIsNotKnown() {
     assertThat(ForwardingPlan.unknown().isKnown()).isFalse();
     assertThat(plan.isKnown()).isTrue();
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/request/FingerprintTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/request/FingerprintTest.java
@@ -36,13 +36,13 @@
   // The boundary between two parts must count: otherwise a caller that chooses its path and body
   // freely could construct a request with the fingerprint of another team's request.
   @Test
-  void partsDoNotRunIntoEachOther() {
+  void boundariesBetweenPartsCount() {
     assertThat(of("branc", "hhall.example", "/form/7?x=1", "abc")).isNotEqualTo(USUAL);
     assertThat(of("branch", "hall.example", "/form/7?x=1a", "bc")).isNotEqualTo(USUAL);
   }
 
   @Test
-  void leavesTheBodyToBeRead() {
+  void doesNotConsumeTheBody() {
     ByteBuffer body = bytes("abc");
 
     var unused = Fingerprint.of("branch", "POST", "hall.example", "/form/7", body);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
@@ -32,7 +32,7 @@
   // may, at any moment of the window. Together they stay below the limit, even with half as many
   // instances more than any of them knows of.
   @Test
-  void allInstancesTogetherStayBelowTheBoundInAnyWindow() {
+  void allInstancesTogetherStayBelowTheLimitInAnyWindow() {
     List<SharedRetryBudget> budgets =
         new ArrayList<>(IntStream.range(0, 9).mapToObj(index -> budget(6)).toList());
     int taken = 0;
@@ -51,7 +51,7 @@
   // With seventy instances the part of each is less than one retry. A caller whose request was sent
   // to an upstream that had just been replaced must not be refused for that.
   @Test
-  void oneOfManyInstancesMaySendAgain() {
+  void oneOfManyInstancesMayRetry() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 70, timers);
 
     assertThat(takeAll(budget)).isEqualTo(1);
@@ -60,7 +60,7 @@
   // Seventy instances get seven requests per second each. First all upstreams work, so the
   // instances save up retries, and then all upstreams fail for an equally long time.
   @Test
-  void manyInstancesTogetherStayBelowTheBound() {
+  void manyInstancesTogetherStayBelowTheLimit() {
     List<SharedRetryBudget> budgets =
         IntStream.range(0, 70)
             .mapToObj(index -> new SharedRetryBudget(MANY, () -> 70, timers))
@@ -82,7 +82,7 @@
 
   // With more instances than additional retries, only retries earned by requests may be spent.
   @Test
-  void thousandsOfInstancesSpendOnlyWhatRequestsEarn() {
+  void thousandsOfInstancesSpendOnlyEarnedRetries() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 1_700, timers);
 
     assertThat(takeAll(budget)).isEqualTo(0);
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void nothingIsSentAgainWhileOthersAreUnknown() {
+  void noRetriesWhileInstanceCountIsUnknown() {
     assertThat(takeAll(budget(0))).isEqualTo(0);
   }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachabilityTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/DomainReachabilityTest.java
@@ -26,8 +26,8 @@
   private final ManualTimers timers = new ManualTimers();
   private final Set<String> silent = new HashSet<>();
   private final Set<String> refusing = new HashSet<>();
-  private int askedCount;
-  private final Set<String> askedIds = new HashSet<>();
+  private int probeCount;
+  private final Set<String> probedIds = new HashSet<>();
   private List<InstanceRecord> others = OTHERS;
   private final DomainReachability reach =
       new DomainReachability(SELF, () -> others, this::ask, timers);
@@ -38,8 +38,8 @@
 
   private CompletableFuture<PeerMessage> ask(
       InstanceRecord peer, PeerMessage request, long timeoutMs) {
-    askedCount++;
-    askedIds.add(peer.id());
+    probeCount++;
+    probedIds.add(peer.id());
     CompletableFuture<PeerMessage> reply = new CompletableFuture<>();
     if (refusing.contains(peer.id())) {
       reply.completeExceptionally(PeerException.connectionRefused(peer.id()));
@@ -56,11 +56,11 @@
   // A failure domain is partitioned. This is detected within less than a second, and other domains
   // are not affected.
   @Test
-  void seesThatDomainIsCutOff() {
-    placeRequestsFor(1_000);
+  void detectsPartitionedDomain() {
+    routeRequestsFor(1_000);
     silent.addAll(Set.of("kayseri-1", "kayseri-2"));
 
-    placeRequestsFor(1_000);
+    routeRequestsFor(1_000);
 
     assertThat(reach.isReachable("kayseri")).isFalse();
     assertThat(reach.isReachable("ankara")).isTrue();
@@ -68,12 +68,12 @@
   }
 
   @Test
-  void seesThatTheDomainIsBack() {
+  void detectsEndOfPartition() {
     silent.addAll(Set.of("kayseri-1", "kayseri-2"));
-    placeRequestsFor(2_000);
+    routeRequestsFor(2_000);
     silent.clear();
 
-    placeRequestsFor(500);
+    routeRequestsFor(500);
 
     assertThat(reach.isReachable("kayseri")).isTrue();
   }
@@ -81,7 +81,7 @@
   // One instance of the failure domain is stalled while the other answers, so the domain is
   // reachable.
   @Test
-  void oneSilentInstanceIsNoCut() {
+  void oneStalledInstanceIsNoPartition() {
     silent.add("kayseri-1");
 
     for (int check = 0; check < 50; check++) {
@@ -93,65 +93,65 @@
   // All instances in the failure domain are restarting. Their hosts refuse connections, so the
   // domain is reachable, and so are its upstreams.
   @Test
-  void refusedConnectionShowsThatTheWayIsOpen() {
+  void refusedConnectionShowsReachability() {
     refusing.addAll(Set.of("kayseri-1", "kayseri-2"));
 
-    placeRequestsFor(3_000);
+    routeRequestsFor(3_000);
 
     assertThat(reach.isReachable("kayseri")).isTrue();
   }
 
   @Test
-  void asksNobodyWhileNoticesCome() {
+  void doesNotProbeWhileNoticesArrive() {
     for (int notice = 0; notice < 20; notice++) {
-      place();
+      routeRequest();
       reach.onMessageFromHost("host of kayseri-2");
       reach.onMessageFromHost("host of ankara-1");
       timers.advanceMs(200);
     }
 
-    assertThat(askedCount).isEqualTo(0);
+    assertThat(probeCount).isEqualTo(0);
   }
 
   // Upstreams in the failure domain keep sending stream events, so no probe is needed.
   @Test
-  void asksNobodyWhileUpstreamsAnswer() {
+  void doesNotProbeWhileUpstreamsAnswer() {
     for (int event = 0; event < 20; event++) {
-      place();
+      routeRequest();
       reach.onMessageFromDomain("kayseri");
       reach.onMessageFromDomain("ankara");
       timers.advanceMs(200);
     }
 
-    assertThat(askedCount).isEqualTo(0);
+    assertThat(probeCount).isEqualTo(0);
   }
 
   // Most instances of a large fleet route a request only now and then. Probes while no request is
   // routed would be of no use.
   @Test
-  void asksNobodyWhileNoRequestIsPlaced() {
+  void doesNotProbeWhileNoRequestIsRouted() {
     timers.advanceMs(60_000);
 
-    assertThat(askedCount).isEqualTo(0);
+    assertThat(probeCount).isEqualTo(0);
   }
 
   // Each probe of another instance needs a connection to it. Probing all sixteen in a domain would
   // need as many connections per instance, each used once in many seconds.
   @Test
-  void asksTheSameInstancesAgain() {
+  void probesTheSameInstancesAgain() {
     others = domainOf(16);
 
-    placeRequestsFor(10_000);
+    routeRequestsFor(10_000);
 
-    assertThat(askedIds).hasSize(2);
+    assertThat(probedIds).hasSize(2);
   }
 
   @Test
-  void asksOthersWhenThoseAreSilent() {
+  void probesOtherInstancesAfterSilence() {
     others = domainOf(16);
     silent.addAll(others.stream().map(InstanceRecord::id).limit(15).toList());
 
-    placeRequestsFor(10_000);
+    routeRequestsFor(10_000);
 
     assertThat(reach.isReachable("kayseri")).isTrue();
   }
@@ -163,20 +163,20 @@
   }
 
   /** Selects an upstream, as each request does. */
-  private void place() {
+  private void routeRequest() {
     reach.isReachable("elsewhere");
   }
 
-  private void placeRequestsFor(long durationMs) {
+  private void routeRequestsFor(long durationMs) {
     for (long atMs = 0; atMs < durationMs; atMs += 100) {
-      place();
+      routeRequest();
       timers.advanceMs(100);
     }
   }
 
   @Test
-  void domainWithoutInstancesCountsAsOpen() {
-    placeRequestsFor(3_000);
+  void domainWithoutInstancesCountsAsReachable() {
+    routeRequestsFor(3_000);
 
     assertThat(reach.isReachable("elsewhere")).isTrue();
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/LeavingUpstreamsTest.java
@@ -18,7 +18,7 @@
   // Its entry expires while the store is unreachable, and returns as ready before the leaving state
   // is written.
   @Test
-  void leaveOutlastsAnEntryThatLapses() {
+  void announcementOutlastsExpiredEntry() {
     leaving.markLeaving(startedAt(1));
 
     timers.advanceMs(12_000);
@@ -29,14 +29,14 @@
   }
 
   @Test
-  void nextProcessUnderTheSameNameTakesRequests() {
+  void nextProcessUnderTheSameIdAcceptsRequests() {
     leaving.markLeaving(startedAt(1));
 
     assertThat(leaving.isLeaving(startedAt(2))).isFalse();
   }
 
   @Test
-  void upstreamsThatHaveGoneAreForgotten() {
+  void unregisteredUpstreamsAreRemoved() {
     leaving.markLeaving(startedAt(1));
 
     timers.advanceMs(600_001);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void countsWhatAnUpstreamGetsAfterItsWord() {
+  void countsRequestsSentAfterTheAnnouncement() {
     leaving.onSent(startedAt(1));
     leaving.markLeaving(startedAt(1));
     leaving.onSent(startedAt(1));
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamBackoffsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamBackoffsTest.java
@@ -9,7 +9,7 @@
 class UpstreamBackoffsTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final UpstreamBackoffs resting = new UpstreamBackoffs(timers);
+  private final UpstreamBackoffs backoffs = new UpstreamBackoffs(timers);
   private final RegisteredUpstream upstream = startedAt(1);
 
   private static RegisteredUpstream startedAt(long startedMs) {
@@ -17,52 +17,52 @@
   }
 
   @Test
-  void restLastsForTheTimeThatWasAskedFor() {
-    resting.onBackoffRequested(upstream, 3_000);
+  void backoffLastsForTheRequestedTime() {
+    backoffs.onBackoffRequested(upstream, 3_000);
 
     timers.advanceMs(2_999);
-    assertThat(resting.isBackingOff(upstream)).isTrue();
+    assertThat(backoffs.isBackingOff(upstream)).isTrue();
     timers.advanceMs(1);
-    assertThat(resting.isBackingOff(upstream)).isFalse();
+    assertThat(backoffs.isBackingOff(upstream)).isFalse();
   }
 
   // A request that was in flight is rejected later, with a shorter backoff.
   @Test
-  void shorterRestDoesNotCutLongerOneShort() {
-    resting.onBackoffRequested(upstream, 3_000);
+  void shorterBackoffDoesNotReplaceLongerOne() {
+    backoffs.onBackoffRequested(upstream, 3_000);
     timers.advanceMs(500);
 
-    resting.onBackoffRequested(upstream, 1_000);
+    backoffs.onBackoffRequested(upstream, 1_000);
 
-    assertThat(resting.remainingMs(upstream)).isEqualTo(2_500);
+    assertThat(backoffs.remainingMs(upstream)).isEqualTo(2_500);
   }
 
   // The entry of the upstream expires while the store is unreachable, and returns afterwards.
   @Test
-  void restOutlastsAnEntryThatLapses() {
-    resting.onBackoffRequested(upstream, 3_000);
+  void backoffOutlastsExpiredEntry() {
+    backoffs.onBackoffRequested(upstream, 3_000);
 
-    resting.retain(UpstreamList.empty());
+    backoffs.retain(UpstreamList.empty());
 
-    assertThat(resting.isBackingOff(upstream)).isTrue();
+    assertThat(backoffs.isBackingOff(upstream)).isTrue();
   }
 
   @Test
-  void nextProcessUnderTheSameNameDoesNotRest() {
-    resting.onBackoffRequested(upstream, 3_000);
+  void nextProcessUnderTheSameIdHasNoBackoff() {
+    backoffs.onBackoffRequested(upstream, 3_000);
 
-    resting.retain(new UpstreamList(List.of(startedAt(2))));
+    backoffs.retain(new UpstreamList(List.of(startedAt(2))));
 
-    assertThat(resting.isBackingOff(startedAt(2))).isFalse();
-    assertThat(resting.backoffCount()).isEqualTo(0);
+    assertThat(backoffs.isBackingOff(startedAt(2))).isFalse();
+    assertThat(backoffs.backoffCount()).isEqualTo(0);
   }
 
   @Test
-  void countsWhatAnUpstreamGetsInItsRest() {
-    resting.onSent(upstream);
-    resting.onBackoffRequested(upstream, 3_000);
-    resting.onSent(upstream);
+  void countsRequestsSentDuringTheBackoff() {
+    backoffs.onSent(upstream);
+    backoffs.onBackoffRequested(upstream, 3_000);
+    backoffs.onSent(upstream);
 
-    assertThat(resting.sentCount()).isEqualTo(1);
+    assertThat(backoffs.sentCount()).isEqualTo(1);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
@@ -17,7 +17,7 @@
       new UpstreamList(List.of(upstream("i-1", "10.0.0.1"), upstream("i-2", "10.0.0.2")));
 
   @Test
-  void keepsWhatIsMissingAfterAnOutage() {
+  void keepsMissingUpstreamsAfterAnOutage() {
     UpstreamList kept =
         new UpstreamList(List.of(upstream("i-2", "10.0.0.2"))).withMissingFrom(earlier);
 
@@ -27,7 +27,7 @@
 
   // The address of an upstream is used by another one: the first has certainly terminated.
   @Test
-  void doesNotKeepAnUpstreamWhoseAddressIsTaken() {
+  void doesNotKeepUpstreamWhoseAddressIsReused() {
     UpstreamList kept =
         new UpstreamList(List.of(upstream("i-9", "10.0.0.1"))).withMissingFrom(earlier);
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -19,14 +19,14 @@
 class UpstreamPickerTest {
 
   private static final String SERVICE = "asistan";
-  private static final long AIM_MS = 800;
+  private static final long TARGET_LATENCY_MS = 800;
 
-  private final Set<String> cutOff = new HashSet<>();
+  private final Set<String> partitioned = new HashSet<>();
   private final Set<String> forbidden = new HashSet<>();
   private final Set<String> warming = new HashSet<>();
   private final ManualTimers timers = new ManualTimers();
   private final UpstreamLoads loads = new UpstreamLoads();
-  private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
+  private final PrefixCacheEstimator prefixCache = new PrefixCacheEstimator();
   private final PrefillSpeed speed = new PrefillSpeed();
   private final PublishedValue<UpstreamList> list = new PublishedValue<>(UpstreamList.empty());
   private final UpstreamPicker picker =
@@ -34,10 +34,10 @@
           list,
           loads,
           new PlainCost("konya", loads, new Random(1)),
-          new PromptCost("konya", loads, memory, speed),
+          new PromptCost("konya", loads, prefixCache, speed),
           (upstream, query, nowMs) -> !forbidden.contains(upstream.id()),
           upstream -> warming.contains(upstream.id()),
-          domain -> !cutOff.contains(domain),
+          domain -> !partitioned.contains(domain),
           timers);
 
   @BeforeEach
@@ -59,18 +59,18 @@
         RegistrationVersion.UNKNOWN);
   }
 
-  private static Prompt prompt(String subject, long ownTokens) {
+  private static Prompt prompt(String prefix, long ownTokens) {
     return new Prompt(
         "m",
         5_000 + ownTokens,
         100,
-        List.of(new Prompt.Part(subject, 5_000), new Prompt.Part("own", ownTokens)));
+        List.of(new Prompt.Part(prefix, 5_000), new Prompt.Part("own", ownTokens)));
   }
 
   private static UpstreamQuery query(Optional<Prompt> prompt, Set<String> tried) {
     return new UpstreamQuery(
         SERVICE,
-        AIM_MS,
+        TARGET_LATENCY_MS,
         prompt,
         AllowedRegions.unrestricted(),
         tried,
@@ -86,14 +86,14 @@
   }
 
   @Test
-  void promptsOfOneSubjectMeetAtOneUpstream() {
+  void promptsWithSharedPrefixGoToOneUpstream() {
     String home = pick(prompt("saver-7", 100));
 
     assertThat(pick(prompt("saver-7", 4_000))).isEqualTo(home);
   }
 
   @Test
-  void subjectsAreSpreadOverUpstreams() {
+  void prefixesAreDistributedOverUpstreams() {
     long homes =
         IntStream.range(0, 60)
             .mapToObj(number -> pick(prompt("saver-" + number, 100)))
@@ -105,7 +105,7 @@
   // Long prompts with many shared prefixes, some of which have the same preferred upstream. A short
   // wait there costs less than another prefill of the prefix elsewhere, so the prompt stays.
   @Test
-  void promptWaitsAtItsHomeAsLongAsItIsInTime() {
+  void promptWaitsAtItsPreferredUpstreamWhileInTime() {
     String home = pick(prompt("saver-7", 100));
     loads.of(home + "@0").onPromptNotice(4_000, speed.tokensPerMs(), timers.nowMs());
 
@@ -115,7 +115,7 @@
   // One prefix gets much of the traffic, or its preferred upstream reads a very long prompt of
   // another instance. The answer would be late behind that, so the prompt is sent elsewhere.
   @Test
-  void promptLeavesItsHomeWhenItWouldBeLateThere() {
+  void promptGoesElsewhereWhenItWouldBeLate() {
     String home = pick(prompt("saver-7", 100));
     loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
@@ -123,7 +123,7 @@
   }
 
   @Test
-  void whatOthersAnnouncedIsReadAfterWhile() {
+  void noticedPromptsCountAsReadAfterWhile() {
     String home = pick(prompt("saver-7", 100));
     loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void leavingUpstreamGetsNothingNew() {
+  void leavingUpstreamGetsNoNewRequests() {
     list.publish(new UpstreamList(List.of(upstream(1, true), upstream(2, false))));
 
     assertThat(pickPlain(Set.of()).map(RegisteredUpstream::id)).isEqualTo(Optional.of("i-2"));
@@ -162,7 +162,7 @@
   // A failure domain is partitioned while its upstreams are still in the list. Requests are sent to
   // the others, even if one of those has just failed, and to the domain only if there is no other.
   @Test
-  void upstreamsOfDomainThatIsCutOffComeLast() {
+  void upstreamsOfPartitionedDomainComeLast() {
     RegisteredUpstream here = upstream(1, false);
     RegisteredUpstream there =
         new RegisteredUpstream(
@@ -176,7 +176,7 @@
             OptionalLong.empty(),
             RegistrationVersion.UNKNOWN);
     list.publish(new UpstreamList(List.of(here, there)));
-    cutOff.add("kayseri");
+    partitioned.add("kayseri");
     loads.of(here.incarnation()).onFailure(timers.nowMs());
 
     assertThat(pickPlain(Set.of()).orElseThrow().id()).isEqualTo("i-1");
@@ -192,7 +192,7 @@
   }
 
   @Test
-  void plainRequestsGoToTheEmptierUpstream() {
+  void plainRequestsGoToTheLeastLoadedUpstream() {
     list.publish(new UpstreamList(List.of(upstream(1, false), upstream(2, false))));
     loads.of("i-1@0").onReport(8, 4, timers.nowMs());
 
@@ -200,14 +200,14 @@
   }
 
   @Test
-  void upstreamsThatWarmUpAreSparedWhileOthersAreThere() {
+  void warmingUpstreamsAreAvoidedWhileOthersAreAvailable() {
     warming.addAll(Set.of("i-0", "i-1", "i-2", "i-3", "i-4"));
 
     assertThat(pick(prompt("saver-7", 100))).isEqualTo("i-5");
   }
 
   @Test
-  void upstreamThatWarmsUpIsBetterThanOneThatFailedLately() {
+  void warmingUpstreamIsBetterThanRecentlyFailedOne() {
     warming.add("i-0");
     IntStream.range(1, 6)
         .forEach(i -> loads.of(upstream(i, false).incarnation()).onFailure(timers.nowMs()));
@@ -216,7 +216,7 @@
   }
 
   @Test
-  void forbiddenUpstreamsAreNeverTaken() {
+  void filteredUpstreamsAreNeverSelected() {
     IntStream.range(0, 6).forEach(i -> forbidden.add("i-" + i));
 
     assertThat(pickPlain(Set.of())).isEqualTo(Optional.empty());
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
@@ -17,11 +17,11 @@
       new Prompt(
           "m", 6_000, 100, List.of(new Prompt.Part("saver", 5_000), new Prompt.Part("own", 1_000)));
 
-  private final StaleRegistrationFilter words = new StaleRegistrationFilter();
+  private final StaleRegistrationFilter filter = new StaleRegistrationFilter();
   private final UpstreamLoads loads = new UpstreamLoads();
-  private final PrefixCacheEstimator memory = new PrefixCacheEstimator();
+  private final PrefixCacheEstimator prefixCache = new PrefixCacheEstimator();
 
-  private static RegisteredUpstream said(long startedMs, long number, boolean leaving) {
+  private static RegisteredUpstream registration(long startedMs, long number, boolean leaving) {
     return new RegisteredUpstream(
         "i-1",
         "sira",
@@ -39,9 +39,9 @@
   }
 
   @Test
-  void loadAndFailuresOfTheEarlierProcessAreForgotten() {
-    RegisteredUpstream earlier = said(1_000, 9, false);
-    RegisteredUpstream later = said(2_000, 1, false);
+  void loadAndFailuresOfTheEarlierProcessAreDropped() {
+    RegisteredUpstream earlier = registration(1_000, 9, false);
+    RegisteredUpstream later = registration(2_000, 1, false);
     loads.of(earlier.incarnation()).onReport(6, 20, 0);
     loads.of(earlier.incarnation()).onFailure(0);
 
@@ -52,20 +52,20 @@
   }
 
   @Test
-  void promptsThatTheEarlierProcessReadAreReadAgain() {
-    RegisteredUpstream earlier = said(1_000, 9, false);
-    RegisteredUpstream later = said(2_000, 1, false);
-    memory.onSent(PROMPT, earlier.incarnation(), 0);
+  void promptsCachedByTheEarlierProcessAreReadAgain() {
+    RegisteredUpstream earlier = registration(1_000, 9, false);
+    RegisteredUpstream later = registration(2_000, 1, false);
+    prefixCache.onSent(PROMPT, earlier.incarnation(), 0);
 
-    assertThat(memory.uncachedTokens(PROMPT, earlier.incarnation(), 1)).isEqualTo(1_000);
-    assertThat(memory.uncachedTokens(PROMPT, later.incarnation(), 1)).isEqualTo(6_000);
+    assertThat(prefixCache.uncachedTokens(PROMPT, earlier.incarnation(), 1)).isEqualTo(1_000);
+    assertThat(prefixCache.uncachedTokens(PROMPT, later.incarnation(), 1)).isEqualTo(6_000);
   }
 
   // The process crashed with a request in flight, and its connection stalled. The caller must not
   // wait for an answer that will never come.
   @Test
-  void requestsAtTheEarlierProcessAreToldOnce() {
-    RegisteredUpstream earlier = said(1_000, 9, false);
+  void requestsAtTheEarlierProcessAreNotifiedOnce() {
+    RegisteredUpstream earlier = registration(1_000, 9, false);
     UpstreamLoad load = loads.of(earlier.incarnation());
     AtomicInteger told = new AtomicInteger();
     load.onSent(0);
@@ -75,30 +75,33 @@
     loads.retain(list(earlier));
     assertThat(told.get()).isEqualTo(0);
 
-    loads.retain(list(said(2_000, 1, false)));
-    loads.retain(list(said(2_000, 2, false)));
+    loads.retain(list(registration(2_000, 1, false)));
+    loads.retain(list(registration(2_000, 2, false)));
     assertThat(told.get()).isEqualTo(1);
   }
 
   // A registration of the earlier process is written late and overwrites that of the later one.
   // Requests are still sent to the later process.
   @Test
-  void lateWordOfTheEarlierProcessDoesNotBringItBack() {
-    UpstreamList newest = words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
+  void lateRegistrationOfTheEarlierProcessDoesNotRestoreIt() {
+    UpstreamList newest =
+        filter.replaceStale(list(registration(2_000, 1, false)), UpstreamList.empty());
 
-    UpstreamList corrected = words.replaceStale(list(said(1_000, 9, false)), newest);
+    UpstreamList corrected = filter.replaceStale(list(registration(1_000, 9, false)), newest);
 
-    assertThat(corrected.containsIncarnation(said(2_000, 1, false).incarnation())).isTrue();
-    assertThat(corrected.containsIncarnation(said(1_000, 9, false).incarnation())).isFalse();
+    assertThat(corrected.containsIncarnation(registration(2_000, 1, false).incarnation())).isTrue();
+    assertThat(corrected.containsIncarnation(registration(1_000, 9, false).incarnation()))
+        .isFalse();
   }
 
   // An upstream has announced that it is leaving, and an older registration of the same process
   // arrives afterwards. It must not get new requests.
   @Test
-  void lateWordDoesNotTakeBackThatAnUpstreamLeaves() {
-    UpstreamList leaving = words.replaceStale(list(said(1_000, 5, true)), UpstreamList.empty());
+  void lateRegistrationDoesNotRevokeLeaving() {
+    UpstreamList leaving =
+        filter.replaceStale(list(registration(1_000, 5, true)), UpstreamList.empty());
 
-    UpstreamList corrected = words.replaceStale(list(said(1_000, 4, false)), leaving);
+    UpstreamList corrected = filter.replaceStale(list(registration(1_000, 4, false)), leaving);
 
     assertThat(corrected.acceptingFor("sira")).isEmpty();
   }
@@ -106,15 +109,16 @@
   // The later process has gone, and then a registration of the earlier one arrives: neither is
   // running.
   @Test
-  void lateWordCountsForNothingOnceTheUpstreamIsGone() {
-    words.replaceStale(list(said(2_000, 1, false)), UpstreamList.empty());
-    UpstreamList gone = words.replaceStale(UpstreamList.empty(), list(said(2_000, 1, false)));
+  void lateRegistrationIsIgnoredOnceTheUpstreamIsGone() {
+    filter.replaceStale(list(registration(2_000, 1, false)), UpstreamList.empty());
+    UpstreamList gone =
+        filter.replaceStale(UpstreamList.empty(), list(registration(2_000, 1, false)));
 
-    assertThat(words.replaceStale(list(said(1_000, 9, false)), gone).all()).isEmpty();
+    assertThat(filter.replaceStale(list(registration(1_000, 9, false)), gone).all()).isEmpty();
   }
 
   @Test
-  void processThatTellsNoStartIsTakenAsItIs() {
+  void processWithoutStartTimeIsNotFiltered() {
     RegisteredUpstream untold =
         new RegisteredUpstream(
             "i-1",
@@ -126,8 +130,8 @@
             false,
             OptionalLong.empty(),
             RegistrationVersion.UNKNOWN);
-    UpstreamList before = words.replaceStale(list(untold), UpstreamList.empty());
+    UpstreamList before = filter.replaceStale(list(untold), UpstreamList.empty());
 
-    assertThat(words.replaceStale(list(untold), before).acceptingFor("sira")).hasSize(1);
+    assertThat(filter.replaceStale(list(untold), before).acceptingFor("sira")).hasSize(1);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -32,7 +32,7 @@
   private static final int REQUESTS_PER_S = 6;
 
   /** Each upstream is detected by the few instances that send to it at the same moment. */
-  private static final int MOST_FINDS = 4 * REPLACED;
+  private static final int MAX_DETECTIONS = 4 * REPLACED;
 
   private final ManualTimers timers = new ManualTimers();
   private final Random random = new Random(7);
@@ -64,25 +64,25 @@
   private final class Instance {
     private final InstanceRecord record;
     private final UpstreamLoads loads = new UpstreamLoads();
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> terminated = new HashSet<>();
     private final LeavingUpstreams leaving = new LeavingUpstreams(timers);
-    private final UpstreamStatusBroadcast news;
+    private final UpstreamStatusBroadcast broadcast;
     private final UpstreamPicker picker;
 
-    Instance(int number, UpstreamStatusReportSender reports) {
+    Instance(int number, UpstreamStatusReportSender sender) {
       this.record =
           new InstanceRecord("e-" + number, "e-" + number, domain(number), "::1", 1, false);
-      this.news =
+      this.broadcast =
           new UpstreamStatusBroadcast(
               record,
               this::others,
-              reports,
+              sender,
               list,
               loads,
               new WarmUpListener() {
                 @Override
                 public void onProcessEnded(RegisteredUpstream upstream) {
-                  ended.add(upstream.id());
+                  terminated.add(upstream.id());
                 }
 
                 @Override
@@ -121,8 +121,8 @@
     }
   }
 
-  private void startFleet(UpstreamStatusReportSender reports) {
-    IntStream.range(0, INSTANCES).forEach(number -> instances.add(new Instance(number, reports)));
+  private void startFleet(UpstreamStatusReportSender sender) {
+    IntStream.range(0, INSTANCES).forEach(number -> instances.add(new Instance(number, sender)));
   }
 
   private void deliver(UpstreamStatusReport report, List<InstanceRecord> to) {
@@ -131,11 +131,11 @@
         () ->
             instances.stream()
                 .filter(instance -> to.contains(instance.record))
-                .forEach(instance -> instance.news.onReport(report)));
+                .forEach(instance -> instance.broadcast.onReport(report)));
   }
 
   /** Simulates the outage and returns the number of requests sent to a replaced upstream. */
-  private int countFinds() {
+  private int countDetections() {
     int finds = 0;
     for (int second = 0; second < SECONDS; second++) {
       for (int turn = 0; turn < REQUESTS_PER_S; turn++) {
@@ -143,7 +143,7 @@
           RegisteredUpstream chosen = instance.pick();
           if (Integer.parseInt(chosen.id().substring(2)) < REPLACED) {
             finds++;
-            instance.news.onDetected(chosen, UpstreamStatus.REPLACED);
+            instance.broadcast.onDetected(chosen, UpstreamStatus.REPLACED);
           }
         }
         timers.advanceMs(1_000 / REQUESTS_PER_S);
@@ -153,39 +153,39 @@
   }
 
   @Test
-  void eachReplacedUpstreamIsFoundByFewInstances() {
+  void eachReplacedUpstreamIsDetectedByFewInstances() {
     startFleet(this::deliver);
 
-    assertThat(countFinds()).isAtMost(MOST_FINDS);
+    assertThat(countDetections()).isAtMost(MAX_DETECTIONS);
   }
 
   @Test
-  void withoutReportsEachInstanceFindsThemAll() {
+  void withoutReportsEachInstanceDetectsThemAll() {
     startFleet((report, to) -> {});
 
-    assertThat(countFinds()).isAtLeast(3 * MOST_FINDS);
+    assertThat(countDetections()).isAtLeast(3 * MAX_DETECTIONS);
   }
 
   @Test
-  void processThatEndedIsAvoidedAndTakenToWarmUpEverywhere() {
+  void terminatedProcessIsAvoidedAndAssumedToWarmUpEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.ENDED);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.ENDED);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
       assertThat(instance.loads.of(upstream(3).incarnation()).isAvoided(timers.nowMs())).isTrue();
-      assertThat(instance.ended).containsExactly("i-3");
+      assertThat(instance.terminated).containsExactly("i-3");
     }
   }
 
   // The store is unreachable, so the list does not show that the upstream is leaving, and the
   // upstream terminates under requests that it still gets.
   @Test
-  void upstreamThatSaysItLeavesIsKnownEverywhere() {
+  void announcedLeavingIsKnownEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -195,12 +195,12 @@
 
   // The upstream was avoided because it was full, which is over soon, while leaving is final.
   @Test
-  void leaveIsTakenAlsoOfAnUpstreamThatIsAvoided() {
+  void leavingIsRecordedForAvoidedUpstream() {
     startFleet(this::deliver);
     Instance other = instances.get(1);
     other.loads.of(upstream(3).incarnation()).avoidFor(timers.nowMs(), 250);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     assertThat(other.leaving.isLeaving(upstream(3))).isTrue();
@@ -208,10 +208,10 @@
 
   // Other failure domains may reach what one cannot reach.
   @Test
-  void unreachableUpstreamIsToldInTheOwnDomainOnly() {
+  void unreachableUpstreamIsReportedInOwnDomainOnly() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.UNREACHABLE);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.UNREACHABLE);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -222,11 +222,12 @@
 
   // The upstream has restarted at another address by the time the report arrives.
   @Test
-  void reportAboutAnotherAddressIsPassedOver() {
+  void ignoresReportAboutAnotherAddress() {
     startFleet(this::deliver);
     Instance one = instances.get(0);
 
-    one.news.onReport(new UpstreamStatusReport("i-3@0", "10.9.9.9", 80, UpstreamStatus.REPLACED));
+    one.broadcast.onReport(
+        new UpstreamStatusReport("i-3@0", "10.9.9.9", 80, UpstreamStatus.REPLACED));
 
     assertThat(one.loads.of("i-3@0").isAvoided(timers.nowMs())).isFalse();
   }
@@ -239,11 +240,11 @@
     Instance one = instances.get(0);
 
     IntStream.range(0, UPSTREAMS)
-        .forEach(number -> one.news.onDetected(upstream(number), UpstreamStatus.ENDED));
+        .forEach(number -> one.broadcast.onDetected(upstream(number), UpstreamStatus.ENDED));
 
-    assertThat(one.news.sentCount()).isEqualTo(20);
+    assertThat(one.broadcast.sentCount()).isEqualTo(20);
     timers.advanceMs(2_000);
-    one.news.onDetected(upstream(1), UpstreamStatus.ENDED);
-    assertThat(one.news.sentCount()).isEqualTo(21);
+    one.broadcast.onDetected(upstream(1), UpstreamStatus.ENDED);
+    assertThat(one.broadcast.sentCount()).isEqualTo(21);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
@@ -50,27 +50,27 @@
     private Set<String> evacuated = Set.of();
     private UpstreamList registered = new UpstreamList(List.of(LIVING));
     private Optional<CompletableFuture<DeclaredConfig>> delayed = Optional.empty();
-    private final List<ReadMode> extents = new ArrayList<>();
-    private boolean away;
+    private final List<ReadMode> modes = new ArrayList<>();
+    private boolean unreachable;
     private boolean hangs;
 
     @Override
-    public CompletableFuture<DeclaredConfig> readConfig(ReadMode extent) {
-      extents.add(extent);
+    public CompletableFuture<DeclaredConfig> readConfig(ReadMode mode) {
+      modes.add(mode);
       if (delayed.isPresent()) {
         return delayed.get();
       }
-      return away
+      return unreachable
           ? failed()
           : CompletableFuture.completedFuture(new DeclaredConfig(Optional.of(newest), evacuated));
     }
 
     @Override
-    public CompletableFuture<UpstreamList> readUpstreams(ReadMode extent) {
+    public CompletableFuture<UpstreamList> readUpstreams(ReadMode mode) {
       if (hangs) {
         return new CompletableFuture<>();
       }
-      return away ? failed() : CompletableFuture.completedFuture(registered);
+      return unreachable ? failed() : CompletableFuture.completedFuture(registered);
     }
 
     private static <T> CompletableFuture<T> failed() {
@@ -78,17 +78,17 @@
     }
   }
 
-  private void follow() {
-    follow(SETTINGS);
+  private void startPolling() {
+    startPolling(SETTINGS);
   }
 
-  private void follow(ViewSettings settings) {
+  private void startPolling(ViewSettings settings) {
     var unused = new StatePoller(store, plan, evacuatedDomains, upstreams, timers, settings);
   }
 
   @Test
   void takesNewPlanWithinOnePeriod() {
-    follow();
+    startPolling();
     store.newest = version(2);
 
     timers.advanceMs(SETTINGS.planPollMs());
@@ -98,9 +98,9 @@
 
   // A response from an earlier read arrives after a newer one: the plan in force stays.
   @Test
-  void neverGoesBackToAnOlderPlan() {
+  void neverRevertsToAnOlderPlan() {
     store.newest = version(5);
-    follow();
+    startPolling();
     store.newest = version(4);
 
     timers.advanceMs(5 * SETTINGS.planPollMs());
@@ -112,7 +112,7 @@
   // moment that it is leaving; requests to it must stop as soon as without the stalled read.
   @Test
   void hangingReadDoesNotDelayTheNextOne() {
-    follow();
+    startPolling();
     store.hangs = true;
     timers.advanceMs(SETTINGS.upstreamPollMs());
     store.hangs = false;
@@ -124,8 +124,8 @@
   }
 
   @Test
-  void forgetsAnUpstreamThatIsNoLongerRegistered() {
-    follow();
+  void removesUpstreamThatIsNoLongerRegistered() {
+    startPolling();
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(SETTINGS.planPollMs());
@@ -137,13 +137,13 @@
   // by the upstreams known before, which register again within two seconds; those that do not are
   // removed.
   @Test
-  void keepsUpstreamsThatAreMissingAfterAnOutageForWhile() {
-    follow();
-    store.away = true;
+  void keepsMissingUpstreamsDuringGracePeriod() {
+    startPolling();
+    store.unreachable = true;
     timers.advanceMs(6_000);
     assertThat(upstreams.read().contains("i-1")).isTrue();
 
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
     timers.advanceMs(1_500);
     assertThat(upstreams.read().contains("i-1")).isTrue();
@@ -156,13 +156,13 @@
   // kept for the grace period in which live upstreams register again, and gets no requests after
   // the end of that period, rather than only from the next periodic read nearly one interval later.
   @Test
-  void stopsKeepingMissingUpstreamsAtTheEndOfTheirTime() {
+  void removesMissingUpstreamsAtTheEndOfTheGracePeriod() {
     ViewSettings settings = new ViewSettings(500, 700, 2_500);
     long regainedMs = 6_500;
-    follow(settings);
-    store.away = true;
+    startPolling(settings);
+    store.unreachable = true;
     timers.advanceMs(regainedMs - 1);
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(settings.recoveryGraceMs());
@@ -176,10 +176,10 @@
   // missing afterwards has left and gets no new requests.
   @Test
   void doesNotKeepUpstreamsAfterSingleFailedRead() {
-    follow();
-    store.away = true;
+    startPolling();
+    store.unreachable = true;
     timers.advanceMs(SETTINGS.planPollMs());
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(2 * SETTINGS.planPollMs());
@@ -190,8 +190,8 @@
   // Nearly all reads return an unchanged list. Subscribers would process dozens of upstreams for
   // each, several times a second.
   @Test
-  void tellsNobodyOfListThatSaysTheSame() {
-    follow();
+  void doesNotPublishUnchangedList() {
+    startPolling();
     AtomicInteger toldCount = new AtomicInteger();
     upstreams.subscribe(list -> toldCount.incrementAndGet());
     store.registered = new UpstreamList(List.of(LIVING));
@@ -203,17 +203,17 @@
   }
 
   @Test
-  void tellsOfFirstListAlsoWhenItIsEmpty() {
+  void publishesFirstListEvenIfEmpty() {
     store.registered = new UpstreamList(List.of());
 
-    follow();
+    startPolling();
 
     assertThat(upstreams.read().isKnown()).isTrue();
   }
 
   @Test
-  void followsWhichDomainsAreEvacuatedAndTakenBack() {
-    follow();
+  void publishesBeginAndEndOfEvacuations() {
+    startPolling();
     store.evacuated = Set.of("konya");
     timers.advanceMs(500);
     assertThat(evacuatedDomains.read()).containsExactly("konya");
@@ -227,10 +227,10 @@
   // The store cannot be read for a while. Known evacuations stay in effect, as requests to a
   // failure domain that is being evacuated would be lost.
   @Test
-  void evacuationHoldsWhileTheStoreIsAway() {
+  void evacuationHoldsWhileTheStoreIsUnreachable() {
     store.evacuated = Set.of("konya");
-    follow();
-    store.away = true;
+    startPolling();
+    store.unreachable = true;
     store.evacuated = Set.of();
 
     timers.advanceMs(5_000);
@@ -241,8 +241,8 @@
   // A response from before the evacuation arrives after the response to a later read. If it
   // counted, the failure domain would get requests again until the next read.
   @Test
-  void lateAnswerDoesNotTakeAnEvacuationBack() {
-    follow();
+  void lateResponseDoesNotEndAnEvacuation() {
+    startPolling();
     CompletableFuture<DeclaredConfig> late = new CompletableFuture<>();
     store.delayed = Optional.of(late);
     timers.advanceMs(500);
@@ -257,12 +257,12 @@
 
   // The store may not report a change; a missed change becomes visible with the next full read.
   @Test
-  void oneReadInFourIsWhole() {
-    follow();
+  void oneReadInFourIsFull() {
+    startPolling();
 
     timers.advanceMs(4 * 500);
 
-    assertThat(store.extents)
+    assertThat(store.modes)
         .containsExactly(
             ReadMode.FULL,
             ReadMode.INCREMENTAL,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpBoundPropertyTest.java
@@ -23,52 +23,53 @@
   private static final long SECOND_MS = 1_000;
 
   @Property(tries = 300, seed = "40001")
-  void staysWithinWhatIsBorneByEight(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    play(seed, 8);
+  void eightInstancesStayWithinTheCapacity(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+    simulate(seed, 8);
   }
 
   @Property(tries = 300, seed = "40002")
-  void staysWithinWhatIsBorneBySixty(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    play(seed, 62);
+  void sixtyInstancesStayWithinTheCapacity(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+    simulate(seed, 62);
   }
 
   @Property(tries = 30, seed = "40003")
-  void staysWithinWhatIsBorneByHundreds(@ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
-    play(seed, 300);
+  void hundredsOfInstancesStayWithinTheCapacity(
+      @ForAll @LongRange(min = 1, max = 1_000_000) long seed) {
+    simulate(seed, 300);
   }
 
-  private static void play(long seed, int count) {
+  private static void simulate(long seed, int count) {
     Random random = new Random(seed);
     ManualTimers timers = new ManualTimers();
-    WarmUpSimulation world = new WarmUpSimulation(timers, count);
+    WarmUpSimulation simulation = new WarmUpSimulation(timers, count);
     Deque<Long> sentMs = new ArrayDeque<>();
-    RegisteredUpstream cold = world.turnCold(1, 3_000);
+    RegisteredUpstream cold = simulation.makeCold(1, 3_000);
     for (int step = 0; step < STEPS; step++) {
-      disturb(world, random, count);
+      injectFault(simulation, random, count);
       if (random.nextInt(4) == 0) {
-        cold = world.turnCold(1, 500 + random.nextInt(3_000));
+        cold = simulation.makeCold(1, 500 + random.nextInt(3_000));
       }
-      world.instances().stream()
+      simulation.instances().stream()
           .filter(instance -> random.nextInt(1 + count / 6) == 0)
           .forEach(WarmUpSimulation.Instance::read);
-      sendAll(world, cold, timers.nowMs(), sentMs);
+      sendAll(simulation, cold, timers.nowMs(), sentMs);
       timers.advanceMs(STEP_MS);
     }
   }
 
-  private static void disturb(WarmUpSimulation world, Random random, int count) {
-    List<WarmUpSimulation.Instance> instances = world.instances();
+  private static void injectFault(WarmUpSimulation simulation, Random random, int count) {
+    List<WarmUpSimulation.Instance> instances = simulation.instances();
     WarmUpSimulation.Instance one = instances.get(random.nextInt(instances.size()));
     switch (random.nextInt(6)) {
       case 0 -> one.cutOff();
       case 1, 2 -> one.reconnect();
-      case 3 -> world.start(one.record().id(), domainOf(one));
+      case 3 -> simulation.start(one.record().id(), domainOf(one));
       case 4 -> {
         if (instances.size() > count / 2) {
-          world.stop(one.record().id());
+          simulation.stop(one.record().id());
         }
       }
-      default -> world.start("edge-" + random.nextInt(2 * count), random.nextInt(4));
+      default -> simulation.start("edge-" + random.nextInt(2 * count), random.nextInt(4));
     }
   }
 
@@ -78,11 +79,11 @@
   }
 
   private static void sendAll(
-      WarmUpSimulation world, RegisteredUpstream cold, long nowMs, Deque<Long> sentMs) {
+      WarmUpSimulation simulation, RegisteredUpstream cold, long nowMs, Deque<Long> sentMs) {
     while (!sentMs.isEmpty() && nowMs - sentMs.peekFirst() >= SECOND_MS) {
       sentMs.pollFirst();
     }
-    world
+    simulation
         .instances()
         .forEach(
             instance -> {
@@ -92,6 +93,6 @@
             });
     assertWithMessage("sent in a second by %s", nowMs)
         .that(sentMs.size())
-        .isAtMost(WarmUpSimulation.MOST_IN_A_SECOND);
+        .isAtMost(WarmUpSimulation.MAX_REQUESTS_PER_SECOND);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
@@ -15,7 +15,7 @@
 class WarmUpPermitsTest {
 
   private final ManualTimers timers = new ManualTimers();
-  private final WarmUpSimulation world = new WarmUpSimulation(timers, 8);
+  private final WarmUpSimulation simulation = new WarmUpSimulation(timers, 8);
 
   private int takeAll(WarmUpSimulation.Instance instance, RegisteredUpstream upstream) {
     return (int)
@@ -23,55 +23,57 @@
   }
 
   @Test
-  void oneInstanceOfItsDomainSendsToAnUpstreamThatWarmsUp() {
-    RegisteredUpstream cold = world.turnCold(0, 3_000);
+  void oneInstanceOfItsDomainSendsToWarmingUpstream() {
+    RegisteredUpstream cold = simulation.makeCold(0, 3_000);
 
     List<WarmUpSimulation.Instance> senders =
-        world.instances().stream().filter(instance -> instance.permits().hasPermit(cold)).toList();
+        simulation.instances().stream()
+            .filter(instance -> instance.permits().hasPermit(cold))
+            .toList();
 
     assertThat(senders).hasSize(1);
     assertThat(senders.get(0).record().domain()).isEqualTo(cold.domain());
   }
 
   @Test
-  void itSendsQuarterOfWhatIsAllowedInAnySecond() {
-    RegisteredUpstream cold = world.turnCold(0, 3_000);
-    WarmUpSimulation.Instance sender = world.senderTo(cold);
+  void senderUsesQuarterOfTheLimitInAnySecond() {
+    RegisteredUpstream cold = simulation.makeCold(0, 3_000);
+    WarmUpSimulation.Instance sender = simulation.senderTo(cold);
 
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MOST_IN_A_SECOND / 4);
+    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
     timers.advanceMs(1_000);
     assertThat(takeAll(sender, cold)).isEqualTo(0);
     timers.advanceMs(1);
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MOST_IN_A_SECOND / 4);
+    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
   }
 
   @Test
-  void warmUpstreamsAreNotBounded() {
-    RegisteredUpstream cold = world.turnCold(0, 3_000);
+  void warmUpstreamsAreNotLimited() {
+    RegisteredUpstream cold = simulation.makeCold(0, 3_000);
     timers.advanceMs(3_000);
 
-    assertThat(takeAll(world.senderTo(cold), cold)).isEqualTo(100);
+    assertThat(takeAll(simulation.senderTo(cold), cold)).isEqualTo(100);
   }
 
   // An instance that cannot read the list of instances would consider itself the first of those it
   // last knew.
   @Test
   void instanceThatDoesNotKnowTheFleetSendsNothing() {
-    RegisteredUpstream cold = world.turnCold(0, 3_000);
-    WarmUpSimulation.Instance sender = world.senderTo(cold);
+    RegisteredUpstream cold = simulation.makeCold(0, 3_000);
+    WarmUpSimulation.Instance sender = simulation.senderTo(cold);
 
     sender.cutOff();
     timers.advanceMs(WarmUpSimulation.CURRENT_MS + 1);
-    RegisteredUpstream still = world.turnCold(0, 3_000);
+    RegisteredUpstream still = simulation.makeCold(0, 3_000);
 
     assertThat(sender.permits().hasPermit(still)).isFalse();
   }
 
   @Test
-  void callersAreToldToComeBackWithinSecond() {
-    RegisteredUpstream cold = world.turnCold(0, 60_000);
+  void callersMayRetryWithinSecond() {
+    RegisteredUpstream cold = simulation.makeCold(0, 60_000);
 
-    SendPermits permits = world.instances().get(0).permits();
+    SendPermits permits = simulation.instances().get(0).permits();
 
     assertThat(permits.retryAfterMs(cold)).isEqualTo(1_000);
     timers.advanceMs(59_600);
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -22,7 +22,7 @@
 final class WarmUpSimulation {
 
   static final int DOMAINS = 4;
-  static final int MOST_IN_A_SECOND = 18;
+  static final int MAX_REQUESTS_PER_SECOND = 18;
 
   /** How long the views of eight instances are current. */
   static final long CURRENT_MS = SimulatedFleet.currentMs(8);
@@ -32,8 +32,8 @@
 
   private final ManualTimers timers;
   private final SimulatedFleet fleet;
-  private final Map<String, Instance> living = new TreeMap<>();
-  private final Map<Integer, Long> words = new TreeMap<>();
+  private final Map<String, Instance> running = new TreeMap<>();
+  private final Map<Integer, Long> registrationCounts = new TreeMap<>();
 
   WarmUpSimulation(ManualTimers timers, int count) {
     this.timers = timers;
@@ -46,17 +46,17 @@
 
   Instance start(String id, int domain) {
     Instance instance = new Instance(fleet.start(id, "domain-" + domain), timers);
-    living.put(id, instance);
+    running.put(id, instance);
     return instance;
   }
 
   void stop(String id) {
-    living.remove(id);
+    running.remove(id);
     fleet.stop(id);
   }
 
   List<Instance> instances() {
-    return new ArrayList<>(living.values());
+    return new ArrayList<>(running.values());
   }
 
   Instance senderTo(RegisteredUpstream upstream) {
@@ -67,8 +67,8 @@
   }
 
   /** Makes an upstream cold, and lets all instances read it. */
-  RegisteredUpstream turnCold(int number, long leftMs) {
-    long word = words.merge(number, 1L, Long::sum);
+  RegisteredUpstream makeCold(int number, long remainingMs) {
+    long word = registrationCounts.merge(number, 1L, Long::sum);
     RegisteredUpstream cold =
         new RegisteredUpstream(
             "i-" + number,
@@ -78,7 +78,7 @@
             "domain-" + number % DOMAINS,
             16,
             false,
-            OptionalLong.of(leftMs),
+            OptionalLong.of(remainingMs),
             new RegistrationVersion(1, word));
     instances().forEach(instance -> instance.list.publish(new UpstreamList(List.of(cold))));
     return cold;
@@ -122,7 +122,7 @@
     }
 
     void cutOff() {
-      member.cutOff();
+      member.partition();
     }
 
     void reconnect() {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmingUpstreamsTest.java
@@ -24,7 +24,7 @@
   private final WarmingUpstreams warming =
       new WarmingUpstreams(list, evacuated, service -> Optional.of(PLAN), timers);
 
-  private static RegisteredUpstream saying(String id, OptionalLong leftMs, long number) {
+  private static RegisteredUpstream reporting(String id, OptionalLong remainingMs, long number) {
     return new RegisteredUpstream(
         id,
         "asistan",
@@ -33,7 +33,7 @@
         "konya",
         16,
         false,
-        leftMs,
+        remainingMs,
         new RegistrationVersion(1, number));
   }
 
@@ -43,8 +43,8 @@
   }
 
   @Test
-  void countsFromWhenTheWordWasRead() {
-    RegisteredUpstream cold = read(saying("i-1", OptionalLong.of(3_000), 1));
+  void countsFromWhenTheRegistrationWasRead() {
+    RegisteredUpstream cold = read(reporting("i-1", OptionalLong.of(3_000), 1));
 
     assertThat(warming.remainingMs(cold)).isEqualTo(3_000);
     timers.advanceMs(2_999);
@@ -54,38 +54,38 @@
   }
 
   @Test
-  void wordThatIsReadAgainDoesNotBeginTheWarmUpAnew() {
-    RegisteredUpstream cold = read(saying("i-1", OptionalLong.of(3_000), 1));
+  void unchangedRegistrationDoesNotRestartTheWarmUp() {
+    RegisteredUpstream cold = read(reporting("i-1", OptionalLong.of(3_000), 1));
     timers.advanceMs(2_000);
 
-    read(saying("i-1", OptionalLong.of(3_000), 1));
+    read(reporting("i-1", OptionalLong.of(3_000), 1));
 
     assertThat(warming.remainingMs(cold)).isEqualTo(1_000);
   }
 
   @Test
-  void warmUpstreamMayTurnColdAgain() {
-    read(saying("i-1", OptionalLong.of(0), 1));
+  void warmUpstreamMayBecomeColdAgain() {
+    read(reporting("i-1", OptionalLong.of(0), 1));
 
-    RegisteredUpstream again = read(saying("i-1", OptionalLong.of(2_000), 2));
+    RegisteredUpstream again = read(reporting("i-1", OptionalLong.of(2_000), 2));
 
     assertThat(warming.remainingMs(again)).isEqualTo(2_000);
   }
 
   @Test
-  void newUpstreamThatSaysNothingIsTakenToHaveJustStarted() {
-    read(saying("i-1", OptionalLong.empty(), 1));
+  void newUpstreamWithoutReportIsAssumedToHaveJustStarted() {
+    read(reporting("i-1", OptionalLong.empty(), 1));
 
-    RegisteredUpstream started = saying("i-2", OptionalLong.empty(), 1);
-    list.publish(new UpstreamList(List.of(saying("i-1", OptionalLong.empty(), 1), started)));
+    RegisteredUpstream started = reporting("i-2", OptionalLong.empty(), 1);
+    list.publish(new UpstreamList(List.of(reporting("i-1", OptionalLong.empty(), 1), started)));
 
     assertThat(warming.remainingMs(started)).isEqualTo(PLAN.durationMs());
   }
 
   // A starting instance reads hundreds of upstreams that have been running for long.
   @Test
-  void upstreamsOfTheFirstListThatSayNothingAreTakenToBeWarm() {
-    RegisteredUpstream known = read(saying("i-1", OptionalLong.empty(), 1));
+  void upstreamsOfTheFirstListWithoutReportAreAssumedWarm() {
+    RegisteredUpstream known = read(reporting("i-1", OptionalLong.empty(), 1));
 
     assertThat(warming.isWarming(known)).isFalse();
   }
@@ -93,19 +93,19 @@
   // An upstream terminates and restarts within a second under its id. Until its next registration
   // is read it looks as warm as before, and would get its full share of the requests at once.
   @Test
-  void endedUpstreamIsTakenToWarmUpUntilItsNextWord() {
-    RegisteredUpstream before = read(saying("i-1", OptionalLong.of(0), 1));
+  void terminatedUpstreamIsAssumedToWarmUpUntilItsNextRegistration() {
+    RegisteredUpstream before = read(reporting("i-1", OptionalLong.of(0), 1));
 
     warming.onProcessEnded(before);
 
     assertThat(warming.isWarming(before)).isTrue();
-    RegisteredUpstream after = read(saying("i-1", OptionalLong.of(0), 2));
+    RegisteredUpstream after = read(reporting("i-1", OptionalLong.of(0), 2));
     assertThat(warming.isWarming(after)).isFalse();
   }
 
   @Test
-  void endedUpstreamWhoseWordStaysTheSameIsWarmAgainLater() {
-    RegisteredUpstream before = read(saying("i-1", OptionalLong.of(0), 1));
+  void terminatedUpstreamWithUnchangedRegistrationIsWarmAgainLater() {
+    RegisteredUpstream before = read(reporting("i-1", OptionalLong.of(0), 1));
     warming.onProcessEnded(before);
 
     timers.advanceMs(5_000);
@@ -115,8 +115,8 @@
 
   // The list is up to a heartbeat old, an answer of the upstream itself is not.
   @Test
-  void whatAnUpstreamSaysItselfIsNewer() {
-    RegisteredUpstream upstream = read(saying("i-1", OptionalLong.of(0), 1));
+  void reportInAnswerIsNewer() {
+    RegisteredUpstream upstream = read(reporting("i-1", OptionalLong.of(0), 1));
 
     warming.onWarmUpReported(upstream, 2_500);
     assertThat(warming.remainingMs(upstream)).isEqualTo(2_500);
@@ -128,8 +128,8 @@
   // A failure domain was empty for a while. Its upstreams are idle, and cold as their next
   // registrations will show; until then all instances would select them first.
   @Test
-  void upstreamsOfDomainThatIsTakenBackAreTakenToWarmUp() {
-    RegisteredUpstream there = read(saying("i-1", OptionalLong.of(0), 1));
+  void upstreamsAreAssumedToWarmUpAfterAnEvacuation() {
+    RegisteredUpstream there = read(reporting("i-1", OptionalLong.of(0), 1));
     evacuated.publish(Set.of("konya"));
     assertThat(warming.isWarming(there)).isFalse();
 
@@ -141,8 +141,8 @@
   }
 
   @Test
-  void upstreamsElsewhereStayWarmWhenDomainIsTakenBack() {
-    RegisteredUpstream here = read(saying("i-1", OptionalLong.of(0), 1));
+  void upstreamsElsewhereStayWarmAfterAnEvacuation() {
+    RegisteredUpstream here = read(reporting("i-1", OptionalLong.of(0), 1));
     evacuated.publish(Set.of("kayseri"));
 
     evacuated.publish(Set.of());
