--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/CrashGuard.java
@@ -175,8 +175,9 @@
 
   private static List<CompletableFuture<Void>> without(
       List<CompletableFuture<Void>> pending, CompletableFuture<Void> probe) {
-    List<CompletableFuture<Void>> left = pending.stream().filter(other -> other != probe).toList();
-    return left.isEmpty() ? null : left;
+    List<CompletableFuture<Void>> remaining =
+        pending.stream().filter(other -> other != probe).toList();
+    return remaining.isEmpty() ? null : remaining;
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/plan/AllowedRegions.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/plan/AllowedRegions.java
@@ -72,7 +72,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof AllowedRegions homes && homes.regions.equals(regions);
+    return other instanceof AllowedRegions allowed && allowed.regions.equals(regions);
   }
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/plan/Route.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/plan/Route.java
@@ -43,10 +43,10 @@
    */
   public String selectService(double point) {
     int total = targets.stream().mapToInt(WeightedService::weight).sum();
-    double left = point * total;
+    double remaining = point * total;
     for (WeightedService target : targets) {
-      left -= target.weight();
-      if (left < 0) {
+      remaining -= target.weight();
+      if (remaining < 0) {
         return target.service();
       }
     }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/AnnouncedRateLimitPropertyTest.java
@@ -97,9 +97,9 @@
       sentMs.pollFirst();
     }
     for (RateLimitSimulation.Instance instance : simulation.instances()) {
-      boolean told = instance.receivedAgoMs() >= APPLIED_AFTER_MS;
+      boolean applied = instance.receivedAgoMs() >= APPLIED_AFTER_MS;
       int sent = instance.send();
-      if (told) {
+      if (applied) {
         for (int number = 0; number < sent; number++) {
           sentMs.addLast(nowMs);
         }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/limit/RateLimitSimulation.java
@@ -73,11 +73,12 @@
       return;
     }
     to.stream()
-        .filter(told -> random.nextInt(LOST_ONE_IN) > 0)
+        .filter(recipient -> random.nextInt(LOST_ONE_IN) > 0)
         .forEach(
-            told ->
+            recipient ->
                 timers.after(
-                    random.nextInt(MAX_DELAY_MS), () -> receive(running.get(told.id()), report)));
+                    random.nextInt(MAX_DELAY_MS),
+                    () -> receive(running.get(recipient.id()), report)));
   }
 
   private static void receive(Instance instance, RateLimitReport report) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
@@ -38,25 +38,25 @@
   private RateLimits limits() {
     return new RateLimits() {
       @Override
-      public Optional<RateLimit> find(RegisteredUpstream asked) {
+      public Optional<RateLimit> find(RegisteredUpstream queried) {
         return Optional.of(
             new RateLimit(maxRequests, WINDOW_MS, timers.nowMs() - confirmedMs, TAKEOVER_DELAY_MS));
       }
 
       @Override
-      public long retryAfterMs(RegisteredUpstream asked) {
+      public long retryAfterMs(RegisteredUpstream queried) {
         return 0;
       }
     };
   }
 
-  private int takeAll(Sender sender) {
+  private int acquireAll(Sender sender) {
     return (int)
         IntStream.range(0, 5_000).filter(take -> sender.permits().tryAcquire(upstream)).count();
   }
 
-  private int takeAll(List<Sender> senders) {
-    return senders.stream().mapToInt(this::takeAll).sum();
+  private int acquireAll(List<Sender> senders) {
+    return senders.stream().mapToInt(this::acquireAll).sum();
   }
 
   private Sender senderAmong(List<Sender> senders) {
@@ -69,13 +69,13 @@
   @Test
   void oneInstanceOfTheDomainUsesHalfOfLowLimit() {
     List<Sender> senders = start();
-    takeAll(senders);
+    acquireAll(senders);
     timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender sender = senderAmong(senders);
 
     assertThat(sender.member().self().domain()).isEqualTo(upstream.domain());
-    assertThat(takeAll(senders)).isEqualTo(2);
+    assertThat(acquireAll(senders)).isEqualTo(2);
     assertThat(sender.permits().hasPermit(upstream)).isFalse();
   }
 
@@ -85,7 +85,7 @@
   void highLimitIsSplitBetweenAllInstances() {
     maxRequests = 2_000;
 
-    start().forEach(sender -> assertThat(takeAll(sender)).isAtLeast(40));
+    start().forEach(sender -> assertThat(acquireAll(sender)).isAtLeast(40));
   }
 
   // All upstreams of a service announce limits at the same time, far above the requests they get.
@@ -93,28 +93,28 @@
   void noInstanceWaitsUnderHighLimit() {
     maxRequests = 2_000;
 
-    assertThat(takeAll(start())).isEqualTo(1_000);
+    assertThat(acquireAll(start())).isEqualTo(1_000);
   }
 
   // The instance that was sending terminated right after its last request.
   @Test
   void successorWaitsUntilEarlierRequestsAreOutsideTheWindow() {
     List<Sender> senders = start();
-    takeAll(senders);
+    acquireAll(senders);
     timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender first = senderAmong(senders);
-    assertThat(takeAll(senders)).isEqualTo(2);
+    assertThat(acquireAll(senders)).isEqualTo(2);
     fleet.stop(first.member().self().id());
-    List<Sender> left = senders.stream().filter(sender -> sender != first).toList();
-    left.forEach(sender -> sender.member().read());
+    List<Sender> remaining = senders.stream().filter(sender -> sender != first).toList();
+    remaining.forEach(sender -> sender.member().read());
 
-    assertThat(takeAll(left)).isEqualTo(0);
+    assertThat(acquireAll(remaining)).isEqualTo(0);
     timers.advanceMs(WINDOW_MS - 1);
-    left.forEach(sender -> sender.member().read());
-    assertThat(takeAll(left)).isEqualTo(0);
+    remaining.forEach(sender -> sender.member().read());
+    assertThat(acquireAll(remaining)).isEqualTo(0);
     timers.advanceMs(1);
-    assertThat(takeAll(left)).isEqualTo(2);
+    assertThat(acquireAll(remaining)).isEqualTo(2);
   }
 
   // While the store is unreachable no instance knows the fleet; a large limit must not stop all
@@ -126,7 +126,7 @@
 
     timers.advanceMs(SimulatedFleet.currentMs(INSTANCES) + 1);
 
-    assertThat(takeAll(senders)).isEqualTo(1_000);
+    assertThat(acquireAll(senders)).isEqualTo(1_000);
   }
 
   // With a limit of zero no instance sends, so no answer would ever show that the limit has ended.
@@ -134,15 +134,15 @@
   void oneInstanceAfterTheOtherProbesWithoutRecentAnswers() {
     maxRequests = 0;
     List<Sender> senders = start();
-    assertThat(takeAll(senders)).isEqualTo(0);
+    assertThat(acquireAll(senders)).isEqualTo(0);
 
     timers.advanceMs(10_000);
-    assertThat(takeAll(senders)).isEqualTo(1);
+    assertThat(acquireAll(senders)).isEqualTo(1);
     timers.advanceMs(2_000);
-    assertThat(takeAll(senders)).isEqualTo(1);
+    assertThat(acquireAll(senders)).isEqualTo(1);
 
     confirmedMs = timers.nowMs();
     timers.advanceMs(9_999);
-    assertThat(takeAll(senders)).isEqualTo(0);
+    assertThat(acquireAll(senders)).isEqualTo(0);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
@@ -20,12 +20,12 @@
     return new SharedRetryBudget(BOUNDS, () -> instances, timers);
   }
 
-  private static int takeAll(SharedRetryBudget budget) {
-    int taken = 0;
+  private static int acquireAll(SharedRetryBudget budget) {
+    int acquired = 0;
     while (budget.tryAcquire(SERVICE)) {
-      taken++;
+      acquired++;
     }
-    return taken;
+    return acquired;
   }
 
   // Guards against a retry storm: every upstream fails, and all instances retry as often as they
@@ -35,17 +35,17 @@
   void allInstancesTogetherStayBelowTheLimitInAnyWindow() {
     List<SharedRetryBudget> budgets =
         new ArrayList<>(IntStream.range(0, 9).mapToObj(index -> budget(6)).toList());
-    int taken = 0;
+    int acquired = 0;
     int requests = 0;
     for (int step = 0; step < 100; step++) {
       for (SharedRetryBudget budget : budgets) {
         budget.onRequest(SERVICE);
         requests++;
-        taken += takeAll(budget);
+        acquired += acquireAll(budget);
       }
       timers.advanceMs(BOUNDS.windowMs() / 100);
     }
-    assertThat((double) taken).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
+    assertThat((double) acquired).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
   }
 
   // With seventy instances the part of each is less than one retry. A caller whose request was sent
@@ -54,7 +54,7 @@
   void oneOfManyInstancesMayRetry() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 70, timers);
 
-    assertThat(takeAll(budget)).isEqualTo(1);
+    assertThat(acquireAll(budget)).isEqualTo(1);
   }
 
   // Seventy instances get seven requests per second each. First all upstreams work, so the
@@ -69,15 +69,15 @@
       budgets.forEach(budget -> budget.onRequest(SERVICE));
       timers.advanceMs(MANY.windowMs() / 70);
     }
-    int taken = 0;
+    int acquired = 0;
     for (int step = 0; step < 70; step++) {
       for (SharedRetryBudget budget : budgets) {
         budget.onRequest(SERVICE);
-        taken += takeAll(budget);
+        acquired += acquireAll(budget);
       }
       timers.advanceMs(MANY.windowMs() / 70);
     }
-    assertThat((double) taken).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
+    assertThat((double) acquired).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
   }
 
   // With more instances than additional retries, only retries earned by requests may be spent.
@@ -85,20 +85,20 @@
   void thousandsOfInstancesSpendOnlyEarnedRetries() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 1_700, timers);
 
-    assertThat(takeAll(budget)).isEqualTo(0);
+    assertThat(acquireAll(budget)).isEqualTo(0);
     IntStream.range(0, 15).forEach(request -> budget.onRequest(SERVICE));
-    assertThat(takeAll(budget)).isEqualTo(1);
+    assertThat(acquireAll(budget)).isEqualTo(1);
   }
 
   @Test
   void noRetriesWhileInstanceCountIsUnknown() {
-    assertThat(takeAll(budget(0))).isEqualTo(0);
+    assertThat(acquireAll(budget(0))).isEqualTo(0);
   }
 
   @Test
   void servicesDoNotShareTheirBudgets() {
     SharedRetryBudget budget = budget(6);
-    takeAll(budget);
+    acquireAll(budget);
 
     assertThat(budget.tryAcquire("asistan")).isTrue();
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -87,49 +87,49 @@
 
   @Test
   void promptsWithSharedPrefixGoToOneUpstream() {
-    String home = pick(prompt("saver-7", 100));
+    String preferred = pick(prompt("saver-7", 100));
 
-    assertThat(pick(prompt("saver-7", 4_000))).isEqualTo(home);
+    assertThat(pick(prompt("saver-7", 4_000))).isEqualTo(preferred);
   }
 
   @Test
   void prefixesAreDistributedOverUpstreams() {
-    long homes =
+    long preferredCount =
         IntStream.range(0, 60)
             .mapToObj(number -> pick(prompt("saver-" + number, 100)))
             .distinct()
             .count();
-    assertThat(homes).isEqualTo(6);
+    assertThat(preferredCount).isEqualTo(6);
   }
 
   // Long prompts with many shared prefixes, some of which have the same preferred upstream. A short
   // wait there costs less than another prefill of the prefix elsewhere, so the prompt stays.
   @Test
   void promptWaitsAtItsPreferredUpstreamWhileInTime() {
-    String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onPromptNotice(4_000, speed.tokensPerMs(), timers.nowMs());
+    String preferred = pick(prompt("saver-7", 100));
+    loads.of(preferred + "@0").onPromptNotice(4_000, speed.tokensPerMs(), timers.nowMs());
 
-    assertThat(pick(prompt("saver-7", 100))).isEqualTo(home);
+    assertThat(pick(prompt("saver-7", 100))).isEqualTo(preferred);
   }
 
   // One prefix gets much of the traffic, or its preferred upstream reads a very long prompt of
   // another instance. The answer would be late behind that, so the prompt is sent elsewhere.
   @Test
   void promptGoesElsewhereWhenItWouldBeLate() {
-    String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
+    String preferred = pick(prompt("saver-7", 100));
+    loads.of(preferred + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
-    assertThat(pick(prompt("saver-7", 100))).isNotEqualTo(home);
+    assertThat(pick(prompt("saver-7", 100))).isNotEqualTo(preferred);
   }
 
   @Test
   void noticedPromptsCountAsReadAfterWhile() {
-    String home = pick(prompt("saver-7", 100));
-    loads.of(home + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
+    String preferred = pick(prompt("saver-7", 100));
+    loads.of(preferred + "@0").onPromptNotice(50_000, speed.tokensPerMs(), timers.nowMs());
 
     timers.advanceMs(2_000);
 
-    assertThat(pick(prompt("saver-7", 100))).isEqualTo(home);
+    assertThat(pick(prompt("saver-7", 100))).isEqualTo(preferred);
   }
 
   @Test
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamRestartTest.java
@@ -67,17 +67,17 @@
   void requestsAtTheEarlierProcessAreNotifiedOnce() {
     RegisteredUpstream earlier = registration(1_000, 9, false);
     UpstreamLoad load = loads.of(earlier.incarnation());
-    AtomicInteger told = new AtomicInteger();
+    AtomicInteger notified = new AtomicInteger();
     load.onSent(0);
-    load.onReplaced(told::incrementAndGet);
-    load.onReplaced(told::incrementAndGet).cancel();
+    load.onReplaced(notified::incrementAndGet);
+    load.onReplaced(notified::incrementAndGet).cancel();
 
     loads.retain(list(earlier));
-    assertThat(told.get()).isEqualTo(0);
+    assertThat(notified.get()).isEqualTo(0);
 
     loads.retain(list(registration(2_000, 1, false)));
     loads.retain(list(registration(2_000, 2, false)));
-    assertThat(told.get()).isEqualTo(1);
+    assertThat(notified.get()).isEqualTo(1);
   }
 
   // A registration of the earlier process is written late and overwrites that of the later one.
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -138,7 +138,7 @@
   private int countDetections() {
     int finds = 0;
     for (int second = 0; second < SECONDS; second++) {
-      for (int turn = 0; turn < REQUESTS_PER_S; turn++) {
+      for (int request = 0; request < REQUESTS_PER_S; request++) {
         for (Instance instance : instances) {
           RegisteredUpstream chosen = instance.pick();
           if (Integer.parseInt(chosen.id().substring(2)) < REPLACED) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpPermitsTest.java
@@ -17,7 +17,7 @@
   private final ManualTimers timers = new ManualTimers();
   private final WarmUpSimulation simulation = new WarmUpSimulation(timers, 8);
 
-  private int takeAll(WarmUpSimulation.Instance instance, RegisteredUpstream upstream) {
+  private int acquireAll(WarmUpSimulation.Instance instance, RegisteredUpstream upstream) {
     return (int)
         IntStream.range(0, 100).filter(number -> instance.permits().tryAcquire(upstream)).count();
   }
@@ -40,11 +40,11 @@
     RegisteredUpstream cold = simulation.makeCold(0, 3_000);
     WarmUpSimulation.Instance sender = simulation.senderTo(cold);
 
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
+    assertThat(acquireAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
     timers.advanceMs(1_000);
-    assertThat(takeAll(sender, cold)).isEqualTo(0);
+    assertThat(acquireAll(sender, cold)).isEqualTo(0);
     timers.advanceMs(1);
-    assertThat(takeAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
+    assertThat(acquireAll(sender, cold)).isEqualTo(WarmUpSimulation.MAX_REQUESTS_PER_SECOND / 4);
   }
 
   @Test
@@ -52,7 +52,7 @@
     RegisteredUpstream cold = simulation.makeCold(0, 3_000);
     timers.advanceMs(3_000);
 
-    assertThat(takeAll(simulation.senderTo(cold), cold)).isEqualTo(100);
+    assertThat(acquireAll(simulation.senderTo(cold), cold)).isEqualTo(100);
   }
 
   // An instance that cannot read the list of instances would consider itself the first of those it
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -68,7 +68,7 @@
 
   /** Makes an upstream cold, and lets all instances read it. */
   RegisteredUpstream makeCold(int number, long remainingMs) {
-    long word = registrationCounts.merge(number, 1L, Long::sum);
+    long sequence = registrationCounts.merge(number, 1L, Long::sum);
     RegisteredUpstream cold =
         new RegisteredUpstream(
             "i-" + number,
@@ -79,7 +79,7 @@
             16,
             false,
             OptionalLong.of(remainingMs),
-            new RegistrationVersion(1, word));
+            new RegistrationVersion(1, sequence));
     instances().forEach(instance -> instance.list.publish(new UpstreamList(List.of(cold))));
     return cold;
   }
