--- a/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/crash/RequestCrashGuard.java
@@ -13,7 +13,7 @@
  * Tracks the crashes of upstreams under one request; confined to the caller's thread.
  *
  * <pre>{@code
- * suspicion.decide(caller, this::send, record -> refuse(record.retryAfterMs(timers.nowMs())));
+ * guard.decide(caller, this::send, record -> refuse(record.retryAfterMs(timers.nowMs())));
  * }</pre>
  *
  * <p>The fingerprint of the request is computed on first use: as long as no upstream has crashed
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
@@ -24,7 +24,7 @@
     Set<String> tried,
     Eligibility eligibility) {
 
-  /** Copies the names. */
+  /** Copies the set of tried incarnations. */
   public UpstreamQuery {
     tried = Set.copyOf(tried);
   }
