--- a/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/answer/SelfReportDispatcher.java
@@ -9,66 +9,69 @@
 import io.mothrill.core.forward.upstream.WarmUpListener;
 
 /**
- * Passes on what upstreams say of themselves in their answers, each part to what decides by it.
+ * Forwards the state that upstreams announce in their answers to the components that use it.
  *
  * <pre>{@code
- * reports.onAnswer(upstream, sentMs, marks.self());
+ * reports.onAnswer(upstream, sentMs, metadata.selfReport());
  * }</pre>
  */
 public final class SelfReportDispatcher {
 
-  private final WarmUpListener warmUps;
+  private final WarmUpListener warmUpListener;
   private final AnnouncedRateLimits limits;
   private final LeavingUpstreams leaving;
-  private final UpstreamStatusBroadcast news;
-  private final UpstreamBackoffs resting;
+  private final UpstreamStatusBroadcast statusBroadcast;
+  private final UpstreamBackoffs backoffs;
 
   /**
-   * Creates the place that all answers are reported to.
+   * Creates a dispatcher.
    *
-   * @param warmUps gets what is said about warming up
-   * @param limits gets the limits that upstreams name
-   * @param leaving knows the upstreams that leave
-   * @param news gets the upstreams that leave, and tells other instances
-   * @param resting gets the upstreams that ask for rest
+   * @param warmUpListener notified of warm-ups
+   * @param limits notified of announced rate limits
+   * @param leaving counts requests to upstreams that are leaving
+   * @param statusBroadcast notified of upstreams that are leaving, and reports them to other
+   *     instances
+   * @param backoffs notified of requested backoffs
    */
   public SelfReportDispatcher(
-      WarmUpListener warmUps,
+      WarmUpListener warmUpListener,
       AnnouncedRateLimits limits,
       LeavingUpstreams leaving,
-      UpstreamStatusBroadcast news,
-      UpstreamBackoffs resting) {
-    this.warmUps = warmUps;
+      UpstreamStatusBroadcast statusBroadcast,
+      UpstreamBackoffs backoffs) {
+    this.warmUpListener = warmUpListener;
     this.limits = limits;
     this.leaving = leaving;
-    this.news = news;
-    this.resting = resting;
+    this.statusBroadcast = statusBroadcast;
+    this.backoffs = backoffs;
   }
 
   /**
-   * Takes what one answer says.
+   * Called when an answer has arrived.
    *
-   * @param upstream the upstream that has answered
-   * @param sentMs when the request was written that it answers
-   * @param report what it says of itself
+   * @param upstream the upstream that answered
+   * @param sentMs the time at which the answered request was written
+   * @param report the state announced in the answer
    */
   public void onAnswer(RegisteredUpstream upstream, long sentMs, SelfReport report) {
-    report.warmUpRemainingMs().ifPresent(leftMs -> warmUps.onWarmUpReported(upstream, leftMs));
+    report
+        .warmUpRemainingMs()
+        .ifPresent(remainingMs -> warmUpListener.onWarmUpReported(upstream, remainingMs));
     limits.onAnswer(upstream, sentMs, report.limitPerS());
     if (report.leaving()) {
-      news.onDetected(upstream, UpstreamStatus.LEAVING);
+      statusBroadcast.onDetected(upstream, UpstreamStatus.LEAVING);
     }
-    report.backoffMs().ifPresent(restMs -> resting.onBackoffRequested(upstream, restMs));
+    report.backoffMs().ifPresent(backoffMs -> backoffs.onBackoffRequested(upstream, backoffMs));
   }
 
   /**
-   * Notes a request that is written to an upstream.
+   * Called when a request is written to an upstream.
    *
    * @param upstream the upstream
    */
   public void onSent(RegisteredUpstream upstream) {
     limits.onSent(upstream);
     leaving.onSent(upstream);
-    resting.onSent(upstream);
+    backoffs.onSent(upstream);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/BackoffCheck.java
@@ -6,18 +6,22 @@
 import io.mothrill.core.forward.upstream.UpstreamQuery;
 import java.util.Optional;
 
-/** An upstream that has asked this instance for rest gets nothing, also where no other is left. */
+/**
+ * Rejects upstreams that have requested a backoff from this instance, even when no other is left.
+ */
 final class BackoffCheck implements SendCheck {
 
-  private final UpstreamBackoffs resting;
+  private final UpstreamBackoffs backoffs;
 
-  BackoffCheck(UpstreamBackoffs resting) {
-    this.resting = resting;
+  BackoffCheck(UpstreamBackoffs backoffs) {
+    this.backoffs = backoffs;
   }
 
   @Override
   public Optional<Rejection> check(RegisteredUpstream upstream, UpstreamQuery query, long nowMs) {
-    long leftMs = resting.remainingMs(upstream);
-    return leftMs == 0 ? Optional.empty() : Optional.of(new Rejection(Cause.RESTING, leftMs));
+    long remainingMs = backoffs.remainingMs(upstream);
+    return remainingMs == 0
+        ? Optional.empty()
+        : Optional.of(new Rejection(Cause.RESTING, remainingMs));
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamPicker.java
@@ -10,10 +10,10 @@
 import java.util.stream.Stream;
 
 /**
- * Picks the upstream with the least cost among those that take requests.
+ * Selects the upstream with the lowest cost among those that accept requests.
  *
  * <pre>{@code
- * Optional<ServingUpstream> upstream = picker.pick(new UpstreamQuery("sira", prompt, tried));
+ * Optional<RegisteredUpstream> upstream = picker.pick(new UpstreamQuery("sira", prompt, tried));
  * }</pre>
  */
 public final class UpstreamPicker {
@@ -34,10 +34,10 @@
    * @param loads their loads
    * @param plainCost the cost of plain requests
    * @param promptCost the cost of requests with a prompt
-   * @param filter says which upstreams a request may be sent to
-   * @param warming says of an upstream whether it warms up
-   * @param reachedDomains says of a failure domain whether the way there is open
-   * @param timers the time
+   * @param filter determines to which upstreams a request may be sent
+   * @param isWarming checks whether an upstream is warming up
+   * @param isDomainReachable checks whether a failure domain is reachable
+   * @param timers the clock
    */
   public UpstreamPicker(
       PublishedValue<UpstreamList> list,
@@ -45,35 +45,35 @@
       UpstreamCost plainCost,
       UpstreamCost promptCost,
       UpstreamFilter filter,
-      Predicate<RegisteredUpstream> warming,
-      Predicate<String> reachedDomains,
+      Predicate<RegisteredUpstream> isWarming,
+      Predicate<String> isDomainReachable,
       Timers timers) {
     this.list = list;
     this.loads = loads;
     this.plainCost = plainCost;
     this.promptCost = promptCost;
     this.filter = filter;
-    this.isWarming = warming;
-    this.isDomainReachable = reachedDomains;
+    this.isWarming = isWarming;
+    this.isDomainReachable = isDomainReachable;
     this.timers = timers;
   }
 
   /**
-   * Picks an upstream.
+   * Selects an upstream.
    *
-   * <p>Upstreams that warm up, that failed lately, or in domains that are cut off, are taken only
-   * when there is no other, in this order.
+   * <p>Upstreams that are warming up, that failed recently or that are in partitioned failure
+   * domains are selected only if there is no other, in this order.
    *
    * @param query the request
-   * @return the upstream, or empty when none is left
+   * @return the upstream, or empty if none is left
    */
   public Optional<RegisteredUpstream> pick(UpstreamQuery query) {
     long nowMs = timers.nowMs();
-    List<RegisteredUpstream> taking = list.read().acceptingFor(query.service());
+    List<RegisteredUpstream> accepting = list.read().acceptingFor(query.service());
     UpstreamCost cost = query.prompt().isPresent() ? promptCost : plainCost;
-    ToDoubleFunction<RegisteredUpstream> costOf = cost.costFunction(query, taking, nowMs);
-    List<RegisteredUpstream> left =
-        taking.stream()
+    ToDoubleFunction<RegisteredUpstream> costOf = cost.costFunction(query, accepting, nowMs);
+    List<RegisteredUpstream> untried =
+        accepting.stream()
             .filter(upstream -> !query.tried().contains(upstream.incarnation()))
             .toList();
     return Stream.<Predicate<RegisteredUpstream>>of(
@@ -81,9 +81,9 @@
             upstream -> isHealthy(upstream, nowMs),
             this::isReachable,
             upstream -> true)
-        .map(preferred -> left.stream().filter(preferred))
-        .map(some -> some.filter(upstream -> filter.permits(upstream, query, nowMs)))
-        .map(some -> cheapest(some, costOf))
+        .map(preferred -> untried.stream().filter(preferred))
+        .map(matching -> matching.filter(upstream -> filter.permits(upstream, query, nowMs)))
+        .map(matching -> cheapest(matching, costOf))
         .flatMap(Optional::stream)
         .findFirst();
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/warmup/WarmingUpstreams.java
@@ -17,21 +17,22 @@
 import org.tinylog.Logger;
 
 /**
- * Knows which upstreams warm up, from what they say and from their ends.
+ * Tracks which upstreams are warming up, from their reports and terminations.
  *
- * <p>What an upstream says counts from when it was read, so its warm-up is taken to last longer by
- * the age of its word, never shorter. One that is seen for the first time and says nothing is taken
- * to have just started.
+ * <p>The remaining time that an upstream reports counts from when the report was read, so a warm-up
+ * is assumed to last longer by the age of the report, never shorter. A new upstream that reports
+ * nothing is assumed to have just started.
  *
- * <p>An upstream that refuses connections may start again under its name, so it is taken to be
- * warming up until the list must have shown the truth. The idle upstreams of a domain that is taken
- * back may have turned cold, so they are taken to warm up until they say otherwise.
+ * <p>An upstream that refuses connections may restart under its id, so it is assumed to be warming
+ * up until a restart must be visible in the list. When the evacuation of a failure domain ends, its
+ * idle upstreams may have become cold, so they are assumed to be warming up until they report
+ * otherwise.
  */
 public final class WarmingUpstreams implements WarmUpListener {
 
   /**
-   * After an end the list shows a new start within a heartbeat and a read, or loses the upstream
-   * after three silent heartbeats; this is longer than both.
+   * After a termination the list shows the restart within a heartbeat and a read, or the upstream
+   * disappears after three missed heartbeats; this is longer than both.
    */
   private static final long RESTART_VISIBLE_MS = 5_000;
 
@@ -39,9 +40,9 @@
   private final Timers timers;
   private volatile Map<String, TrackedUpstream> tracked = Map.of();
   private Set<String> evacuated;
-  private final Map<String, Long> endedMs = new ConcurrentHashMap<>();
+  private final Map<String, Long> terminatedMs = new ConcurrentHashMap<>();
 
-  /** An upstream as it was read last, and until when it warms up. */
+  /** An upstream as last read, and the end of its warm-up. */
   private record TrackedUpstream(RegisteredUpstream upstream, long untilMs) {
 
     TrackedUpstream warmingUntil(long laterMs) {
@@ -50,13 +51,12 @@
   }
 
   /**
-   * Begins to follow a list.
+   * Creates the tracker and subscribes to the list.
    *
    * @param list the registered upstreams
-   * @param evacuatedDomains the failure domains that operators are emptying
-   * @param plans what the upstreams of a service bear while they warm up; empty when nothing bounds
-   *     it
-   * @param timers the time
+   * @param evacuatedDomains the failure domains that operators are evacuating
+   * @param plans the warm-up of a service's upstreams; empty if it is not limited
+   * @param timers the clock
    */
   public WarmingUpstreams(
       PublishedValue<UpstreamList> list,
@@ -70,14 +70,14 @@
     evacuatedDomains.subscribe(this::onEvacuations);
   }
 
-  private synchronized void onEvacuations(Set<String> now) {
-    Set<String> takenBack = new HashSet<>(evacuated);
-    takenBack.removeAll(now);
-    evacuated = now;
+  private synchronized void onEvacuations(Set<String> evacuatedNow) {
+    Set<String> reopenedDomains = new HashSet<>(evacuated);
+    reopenedDomains.removeAll(evacuatedNow);
+    evacuated = evacuatedNow;
     Map<String, TrackedUpstream> next = new HashMap<>(tracked);
     next.replaceAll(
         (incarnation, found) ->
-            takenBack.contains(found.upstream().domain())
+            reopenedDomains.contains(found.upstream().domain())
                 ? found.warmingUntil(restartedWarmUpEnd(found))
                 : found);
     tracked = next;
@@ -93,7 +93,7 @@
     Map<String, TrackedUpstream> next = new HashMap<>();
     list.all().forEach(upstream -> next.put(upstream.incarnation(), track(upstream, first)));
     tracked = next;
-    endedMs.keySet().retainAll(next.keySet());
+    terminatedMs.keySet().retainAll(next.keySet());
   }
 
   private TrackedUpstream track(RegisteredUpstream upstream, boolean first) {
@@ -101,15 +101,16 @@
     if (before != null && before.upstream().equals(upstream)) {
       return before;
     }
-    endedMs.remove(upstream.incarnation());
-    OptionalLong saidMs = upstream.warmUpRemainingMs();
-    long leftMs =
-        saidMs.orElseGet(() -> before != null || first ? 0 : durationMs(upstream.service()));
-    boolean begins = leftMs > 0 && (before == null || before.untilMs() <= timers.nowMs());
-    if (begins) {
-      Logger.info("upstream warms up upstream={} leftMs={}", upstream.incarnation(), leftMs);
+    terminatedMs.remove(upstream.incarnation());
+    OptionalLong reportedMs = upstream.warmUpRemainingMs();
+    long remainingMs =
+        reportedMs.orElseGet(() -> before != null || first ? 0 : durationMs(upstream.service()));
+    boolean starts = remainingMs > 0 && (before == null || before.untilMs() <= timers.nowMs());
+    if (starts) {
+      Logger.info(
+          "upstream is warming up upstream={} leftMs={}", upstream.incarnation(), remainingMs);
     }
-    return new TrackedUpstream(upstream, timers.nowMs() + leftMs);
+    return new TrackedUpstream(upstream, timers.nowMs() + remainingMs);
   }
 
   private long durationMs(String service) {
@@ -117,61 +118,64 @@
   }
 
   @Override
-  public void onWarmUpReported(RegisteredUpstream upstream, long leftMs) {
-    if (leftMs > 0 || isWarming(upstream)) {
-      applyReport(upstream, leftMs);
+  public void onWarmUpReported(RegisteredUpstream upstream, long remainingMs) {
+    if (remainingMs > 0 || isWarming(upstream)) {
+      applyReport(upstream, remainingMs);
     }
   }
 
-  private synchronized void applyReport(RegisteredUpstream upstream, long leftMs) {
+  private synchronized void applyReport(RegisteredUpstream upstream, long remainingMs) {
     TrackedUpstream before = tracked.get(upstream.incarnation());
     if (before == null) {
       return;
     }
     Map<String, TrackedUpstream> next = new HashMap<>(tracked);
     next.put(
-        upstream.incarnation(), new TrackedUpstream(before.upstream(), timers.nowMs() + leftMs));
+        upstream.incarnation(),
+        new TrackedUpstream(before.upstream(), timers.nowMs() + remainingMs));
     tracked = next;
-    endedMs.remove(upstream.incarnation());
+    terminatedMs.remove(upstream.incarnation());
   }
 
   @Override
   public void onProcessEnded(RegisteredUpstream upstream) {
     if (tracked.containsKey(upstream.incarnation())) {
-      endedMs.put(upstream.incarnation(), timers.nowMs());
+      terminatedMs.put(upstream.incarnation(), timers.nowMs());
     }
   }
 
   /**
-   * Says whether an upstream warms up.
+   * Checks whether an upstream is warming up.
    *
    * @param upstream the upstream
-   * @return true when it does, or may do after an end
+   * @return true if it is, or may be after a termination
    */
   public boolean isWarming(RegisteredUpstream upstream) {
     return remainingMs(upstream) > 0;
   }
 
   /**
-   * Counts the upstreams that warm up.
+   * Returns the number of upstreams that are warming up.
    *
-   * @return a count
+   * @return the number of upstreams
    */
   public long warmingCount() {
     return tracked.values().stream().map(TrackedUpstream::upstream).filter(this::isWarming).count();
   }
 
   /**
-   * Says how much longer an upstream warms up.
+   * Returns the remaining warm-up time of an upstream.
    *
    * @param upstream the upstream
-   * @return milliseconds; 0 when it is warm
+   * @return milliseconds; 0 if it is warm
    */
   public long remainingMs(RegisteredUpstream upstream) {
     TrackedUpstream found = tracked.get(upstream.incarnation());
-    long saidMs = found == null ? durationMs(upstream.service()) : remaining(found.untilMs());
-    Long ended = endedMs.get(upstream.incarnation());
-    return ended == null ? saidMs : Math.max(saidMs, remaining(ended + RESTART_VISIBLE_MS));
+    long reportedMs = found == null ? durationMs(upstream.service()) : remaining(found.untilMs());
+    Long terminated = terminatedMs.get(upstream.incarnation());
+    return terminated == null
+        ? reportedMs
+        : Math.max(reportedMs, remaining(terminated + RESTART_VISIBLE_MS));
   }
 
   private long remaining(long untilMs) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/crash/CrashSimulation.java
@@ -20,14 +20,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
 
-/** Instances of several failure domains that tell each other of crashes over a lossy network. */
+/** Instances in several failure domains that send each other crash records over a lossy network. */
 final class CrashSimulation {
 
   static final Fingerprint REQUEST = new Fingerprint(7, 7);
 
   private static final int DOMAINS = 6;
 
-  /** One way between failure domains, with a little jitter. */
+  /** One-way delay between failure domains, with a little jitter. */
   private static final int MIN_DELAY_MS = 1;
 
   private static final int MAX_DELAY_MS = 4;
@@ -38,11 +38,11 @@
   final FakeTable table = new FakeTable(timers);
   final StoreClock storeClock = new SteadyStoreClock(timers);
   private final Map<String, Object> processes = new HashMap<>();
-  private final Set<String> cutOff = new HashSet<>();
+  private final Set<String> partitioned = new HashSet<>();
   private final PublishedValue<UpstreamList> upstreams = new PublishedValue<>(UpstreamList.empty());
   private final SplittableRandom random;
   private final double lossShare;
-  private boolean upstreamsEnd = true;
+  private boolean upstreamsTerminate = true;
   long datagramCount;
 
   CrashSimulation(int instanceCount, double lossShare, long seed) {
@@ -76,7 +76,7 @@
     return new InstanceRecord(id, id, domain(number), id, 1, false);
   }
 
-  /** Starts an instance, or another process in its place, which knows nothing. */
+  /** Starts an instance, or replaces its process by one without records. */
   void start(InstanceRecord self) {
     Object process = new Object();
     processes.put(self.id(), process);
@@ -92,14 +92,14 @@
             },
             table,
             storeClock,
-            upstream -> CompletableFuture.completedFuture(upstreamsEnd),
+            upstream -> CompletableFuture.completedFuture(upstreamsTerminate),
             upstream -> upstreams.read().isAccepting(upstream),
             timers,
             random));
   }
 
-  void upstreamsGoOn() {
-    upstreamsEnd = false;
+  void keepUpstreamsRunning() {
+    upstreamsTerminate = false;
   }
 
   void publish(UpstreamList list) {
@@ -110,18 +110,18 @@
     return guards.get("edge-" + number);
   }
 
-  void cutOff(int number) {
-    cutOff.add("edge-" + number);
+  void partition(int number) {
+    partitioned.add("edge-" + number);
   }
 
-  void heal() {
-    cutOff.clear();
+  void reconnect() {
+    partitioned.clear();
   }
 
   private void deliver(InstanceRecord from, InstanceRecord to, CrashMessage message) {
     datagramCount++;
     boolean lost = random.nextDouble() < lossShare;
-    if (lost || cutOff.contains(from.id()) || cutOff.contains(to.id())) {
+    if (lost || partitioned.contains(from.id()) || partitioned.contains(to.id())) {
       return;
     }
     long delayMs = random.nextInt(MIN_DELAY_MS, MAX_DELAY_MS + 1);
@@ -129,16 +129,16 @@
     timers.after(delayMs, () -> receiver.onMessage(message, from));
   }
 
-  /** Lets an upstream end under the request at an instance. */
+  /** Crashes an upstream under the request at an instance. */
   void crash(int instance, int upstream) {
     guard(instance).onConnectionLost(REQUEST, upstream(upstream));
   }
 
-  boolean refuses(int instance) {
+  boolean isQuarantinedAt(int instance) {
     return guard(instance).crashCount(REQUEST) >= CrashRecord.MAX_CRASHES;
   }
 
-  long refusingCount() {
+  long quarantiningCount() {
     return guards.values().stream()
         .filter(guard -> guard.crashCount(REQUEST) >= CrashRecord.MAX_CRASHES)
         .count();
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SendPermitsTest.java
@@ -12,15 +12,15 @@
 
 class SendPermitsTest {
 
-  private static final long SPAN_MS = 4_000;
-  private static final long WAIT_MS = 4_000;
+  private static final long WINDOW_MS = 4_000;
+  private static final long TAKEOVER_DELAY_MS = 4_000;
   private static final int INSTANCES = 8;
 
   private final ManualTimers timers = new ManualTimers();
   private final SimulatedFleet fleet = new SimulatedFleet(timers);
   private final RegisteredUpstream upstream = TestUpstreams.started("i-1", "domain-1", 1);
-  private int most = 4;
-  private long heardMs = timers.nowMs();
+  private int maxRequests = 4;
+  private long confirmedMs = timers.nowMs();
 
   private record Sender(SimulatedFleet.Member member, SendPermits permits) {}
 
@@ -31,33 +31,32 @@
             .toList();
     fleet.settle();
     return members.stream()
-        .map(
-            member ->
-                new Sender(member, new SendPermits(member.self(), member, allowances(), timers)))
+        .map(member -> new Sender(member, new SendPermits(member.self(), member, limits(), timers)))
         .toList();
   }
 
-  private RateLimits allowances() {
+  private RateLimits limits() {
     return new RateLimits() {
       @Override
-      public Optional<RateLimit> find(RegisteredUpstream asked) {
-        return Optional.of(new RateLimit(most, SPAN_MS, timers.nowMs() - heardMs, WAIT_MS));
+      public Optional<RateLimit> find(RegisteredUpstream queried) {
+        return Optional.of(
+            new RateLimit(maxRequests, WINDOW_MS, timers.nowMs() - confirmedMs, TAKEOVER_DELAY_MS));
       }
 
       @Override
-      public long retryAfterMs(RegisteredUpstream asked) {
+      public long retryAfterMs(RegisteredUpstream queried) {
         return 0;
       }
     };
   }
 
-  private int takeAll(Sender sender) {
+  private int acquireAll(Sender sender) {
     return (int)
         IntStream.range(0, 5_000).filter(take -> sender.permits().tryAcquire(upstream)).count();
   }
 
-  private int takeAll(List<Sender> senders) {
-    return senders.stream().mapToInt(this::takeAll).sum();
+  private int acquireAll(List<Sender> senders) {
+    return senders.stream().mapToInt(this::acquireAll).sum();
   }
 
   private Sender senderAmong(List<Sender> senders) {
@@ -68,80 +67,82 @@
   }
 
   @Test
-  void halfOfSmallLimitIsSentByOneInstanceOfTheDomain() {
+  void oneInstanceOfTheDomainUsesHalfOfLowLimit() {
     List<Sender> senders = start();
-    takeAll(senders);
-    timers.advanceMs(WAIT_MS);
+    acquireAll(senders);
+    timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender sender = senderAmong(senders);
 
     assertThat(sender.member().self().domain()).isEqualTo(upstream.domain());
-    assertThat(takeAll(senders)).isEqualTo(2);
+    assertThat(acquireAll(senders)).isEqualTo(2);
     assertThat(sender.permits().hasPermit(upstream)).isFalse();
   }
 
-  // A limit that is far above what callers want must not take the upstream away from most of them.
+  // A limit far above the load of the callers must not make the upstream unavailable to most of
+  // them.
   @Test
-  void largeLimitIsSharedByAllInstances() {
-    most = 2_000;
+  void highLimitIsSplitBetweenAllInstances() {
+    maxRequests = 2_000;
 
-    start().forEach(sender -> assertThat(takeAll(sender)).isAtLeast(40));
+    start().forEach(sender -> assertThat(acquireAll(sender)).isAtLeast(40));
   }
 
-  // All upstreams of a service name limits at the same time, far above what they get.
+  // All upstreams of a service announce limits at the same time, far above the requests they get.
   @Test
-  void nobodyWaitsUnderLargeLimit() {
-    most = 2_000;
+  void noInstanceWaitsUnderHighLimit() {
+    maxRequests = 2_000;
 
-    assertThat(takeAll(start())).isEqualTo(1_000);
+    assertThat(acquireAll(start())).isEqualTo(1_000);
   }
 
-  // The instance that sent has ended just after its last request.
+  // The instance that was sending terminated right after its last request.
   @Test
-  void successorWaitsUntilWhatWasSentBeforeHasLeftTheSpan() {
+  void successorWaitsUntilEarlierRequestsAreOutsideTheWindow() {
     List<Sender> senders = start();
-    takeAll(senders);
-    timers.advanceMs(WAIT_MS);
+    acquireAll(senders);
+    timers.advanceMs(TAKEOVER_DELAY_MS);
     senders.forEach(one -> one.member().read());
     Sender first = senderAmong(senders);
-    assertThat(takeAll(senders)).isEqualTo(2);
+    assertThat(acquireAll(senders)).isEqualTo(2);
     fleet.stop(first.member().self().id());
-    List<Sender> left = senders.stream().filter(sender -> sender != first).toList();
-    left.forEach(sender -> sender.member().read());
+    List<Sender> remaining = senders.stream().filter(sender -> sender != first).toList();
+    remaining.forEach(sender -> sender.member().read());
 
-    assertThat(takeAll(left)).isEqualTo(0);
-    timers.advanceMs(SPAN_MS - 1);
-    left.forEach(sender -> sender.member().read());
-    assertThat(takeAll(left)).isEqualTo(0);
+    assertThat(acquireAll(remaining)).isEqualTo(0);
+    timers.advanceMs(WINDOW_MS - 1);
+    remaining.forEach(sender -> sender.member().read());
+    assertThat(acquireAll(remaining)).isEqualTo(0);
     timers.advanceMs(1);
-    assertThat(takeAll(left)).isEqualTo(2);
+    assertThat(acquireAll(remaining)).isEqualTo(2);
   }
 
-  // Under a silent store nobody knows the fleet; a large limit must not end all service then.
+  // While the store is unreachable no instance knows the fleet; a large limit must not stop all
+  // service then.
   @Test
-  void silentStoreLeavesLargeLimitToAll() {
-    most = 2_000;
+  void highLimitIsSplitWhileTheStoreIsUnreachable() {
+    maxRequests = 2_000;
     List<Sender> senders = start();
 
     timers.advanceMs(SimulatedFleet.currentMs(INSTANCES) + 1);
 
-    assertThat(takeAll(senders)).isEqualTo(1_000);
+    assertThat(acquireAll(senders)).isEqualTo(1_000);
   }
 
-  // Nobody sends under a limit of nothing, so no answer would ever tell that it is over.
+  // With a limit of zero no instance sends, so no answer would ever show that the limit has ended.
   @Test
-  void oneInstanceAfterTheOtherAsksWhenNobodyHasHeardForLong() {
-    most = 0;
+  void oneInstanceAfterTheOtherProbesWithoutRecentAnswers() {
+    maxRequests = 0;
     List<Sender> senders = start();
-    assertThat(takeAll(senders)).isEqualTo(0);
+    assertThat(acquireAll(senders)).isEqualTo(0);
 
     timers.advanceMs(10_000);
-    assertThat(takeAll(senders)).isEqualTo(1);
+    assertThat(acquireAll(senders)).isEqualTo(1);
     timers.advanceMs(2_000);
-    assertThat(takeAll(senders)).isEqualTo(1);
+    assertThat(acquireAll(senders)).isEqualTo(1);
 
-    heardMs = timers.nowMs();
+    confirmedMs = timers.nowMs();
     timers.advanceMs(9_999);
-    assertThat(takeAll(senders)).isEqualTo(0);
+    assertThat(acquireAll(senders)).isEqualTo(0);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/permit/SimulatedFleet.java
@@ -7,43 +7,43 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Instances that each read at times of their own who the others are. */
+/** Instances that each read the list of instances at different times. */
 public final class SimulatedFleet {
 
-  /** Rows that an instance reads in a second, on average. */
+  /** Average number of rows that an instance reads per second. */
   private static final int ROWS_PER_S = 6;
 
-  private static final long LATE_READ_MS = 2_000;
+  private static final long MAX_READ_DELAY_MS = 2_000;
 
   private final ManualTimers timers;
-  private final Map<String, Member> living = new TreeMap<>();
+  private final Map<String, Member> running = new TreeMap<>();
 
-  /** Creates a fleet without instances. */
+  /** Creates an empty fleet. */
   public SimulatedFleet(ManualTimers timers) {
     this.timers = timers;
   }
 
-  /** Says for how long a view of some instances is current. */
+  /** Returns for how long a view of some number of instances is current. */
   public static long currentMs(int count) {
-    return count * 1_000L / ROWS_PER_S + LATE_READ_MS;
+    return count * 1_000L / ROWS_PER_S + MAX_READ_DELAY_MS;
   }
 
-  /** Starts an instance, in place of the one that had its id. */
+  /** Starts an instance and replaces the one that had its id. */
   public Member start(String id, String domain) {
     Member member = new Member(new InstanceRecord(id, id, domain, "10.0.0.1", 1, false));
-    living.put(id, member);
+    running.put(id, member);
     return member;
   }
 
-  /** Ends an instance. */
+  /** Stops an instance. */
   public void stop(String id) {
-    living.remove(id);
+    running.remove(id);
   }
 
-  /** Lets all instances know of each other, as after hours of calm. */
+  /** Lets all instances read each other, as after hours without changes. */
   public void settle() {
-    living.values().forEach(member -> member.startedMs = timers.nowMs() - 3_600_000);
-    living.values().forEach(Member::read);
+    running.values().forEach(member -> member.startedMs = timers.nowMs() - 3_600_000);
+    running.values().forEach(Member::read);
   }
 
   /** One instance and its view of the others. */
@@ -53,41 +53,44 @@
     private List<InstanceRecord> others = List.of();
     private long startedMs = timers.nowMs();
     private long readMs = startedMs;
-    private boolean cutOff;
+    private boolean partitioned;
 
     private Member(InstanceRecord self) {
       this.self = self;
     }
 
-    /** Gives what others read of this instance. */
+    /** Returns the registration of this instance. */
     public InstanceRecord self() {
       return self;
     }
 
-    /** Cuts the instance off from the store and from the others. */
-    public void cutOff() {
-      cutOff = true;
+    /** Partitions the instance from the store and from the others. */
+    public void partition() {
+      partitioned = true;
     }
 
-    /** Ends the cut. */
+    /** Ends the partition. */
     public void reconnect() {
-      cutOff = false;
+      partitioned = false;
     }
 
-    /** Says whether the instance is cut off. */
-    public boolean isCutOff() {
-      return cutOff;
+    /** Checks whether the instance is partitioned. */
+    public boolean isPartitioned() {
+      return partitioned;
     }
 
-    /** Reads the rows of the others: those that renew theirs. */
+    /** Reads the rows of the instances that renew theirs. */
     public void read() {
-      if (cutOff) {
+      if (partitioned) {
         return;
       }
       readMs = timers.nowMs();
       others =
-          new ArrayList<>(living.values())
-              .stream().filter(other -> !other.cutOff && other != this).map(Member::self).toList();
+          new ArrayList<>(running.values())
+              .stream()
+                  .filter(other -> !other.partitioned && other != this)
+                  .map(Member::self)
+                  .toList();
     }
 
     @Override
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/retry/SharedRetryBudgetTest.java
@@ -20,47 +20,47 @@
     return new SharedRetryBudget(BOUNDS, () -> instances, timers);
   }
 
-  private static int takeAll(SharedRetryBudget budget) {
-    int taken = 0;
+  private static int acquireAll(SharedRetryBudget budget) {
+    int acquired = 0;
     while (budget.tryAcquire(SERVICE)) {
-      taken++;
+      acquired++;
     }
-    return taken;
+    return acquired;
   }
 
-  // Pattern: every upstream fails, and all instances send again as often as they may, at any
-  // moment of the window. Together they stay below what is allowed, even with half as many
+  // Guards against a retry storm: every upstream fails, and all instances retry as often as they
+  // may, at any moment of the window. Together they stay below the limit, even with half as many
   // instances more than any of them knows of.
   @Test
-  void allInstancesTogetherStayBelowTheBoundInAnyWindow() {
+  void allInstancesTogetherStayBelowTheLimitInAnyWindow() {
     List<SharedRetryBudget> budgets =
         new ArrayList<>(IntStream.range(0, 9).mapToObj(index -> budget(6)).toList());
-    int taken = 0;
+    int acquired = 0;
     int requests = 0;
     for (int step = 0; step < 100; step++) {
       for (SharedRetryBudget budget : budgets) {
         budget.onRequest(SERVICE);
         requests++;
-        taken += takeAll(budget);
+        acquired += acquireAll(budget);
       }
       timers.advanceMs(BOUNDS.windowMs() / 100);
     }
-    assertThat((double) taken).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
+    assertThat((double) acquired).isAtMost(BOUNDS.ratio() * requests + BOUNDS.extraCount());
   }
 
-  // With seventy instances the part of each is less than one send. A caller whose request met an
-  // upstream that had just been replaced must not be refused for that.
+  // With seventy instances the part of each is less than one retry. A caller whose request was sent
+  // to an upstream that had just been replaced must not be refused for that.
   @Test
-  void oneOfManyInstancesMaySendAgain() {
+  void oneOfManyInstancesMayRetry() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 70, timers);
 
-    assertThat(takeAll(budget)).isEqualTo(1);
+    assertThat(acquireAll(budget)).isEqualTo(1);
   }
 
-  // Pattern: seventy instances with seven requests a second each, and all upstreams fail for as
-  // long as the calm before had let the instances save up.
+  // Seventy instances get seven requests per second each. First all upstreams work, so the
+  // instances save up retries, and then all upstreams fail for an equally long time.
   @Test
-  void manyInstancesTogetherStayBelowTheBound() {
+  void manyInstancesTogetherStayBelowTheLimit() {
     List<SharedRetryBudget> budgets =
         IntStream.range(0, 70)
             .mapToObj(index -> new SharedRetryBudget(MANY, () -> 70, timers))
@@ -69,36 +69,36 @@
       budgets.forEach(budget -> budget.onRequest(SERVICE));
       timers.advanceMs(MANY.windowMs() / 70);
     }
-    int taken = 0;
+    int acquired = 0;
     for (int step = 0; step < 70; step++) {
       for (SharedRetryBudget budget : budgets) {
         budget.onRequest(SERVICE);
-        taken += takeAll(budget);
+        acquired += acquireAll(budget);
       }
       timers.advanceMs(MANY.windowMs() / 70);
     }
-    assertThat((double) taken).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
+    assertThat((double) acquired).isAtMost(MANY.ratio() * 70 * 70 + MANY.extraCount());
   }
 
-  // With more instances than sends are allowed besides, only what requests earn may be spent.
+  // With more instances than additional retries, only retries earned by requests may be spent.
   @Test
-  void thousandsOfInstancesSpendOnlyWhatRequestsEarn() {
+  void thousandsOfInstancesSpendOnlyEarnedRetries() {
     SharedRetryBudget budget = new SharedRetryBudget(MANY, () -> 1_700, timers);
 
-    assertThat(takeAll(budget)).isEqualTo(0);
+    assertThat(acquireAll(budget)).isEqualTo(0);
     IntStream.range(0, 15).forEach(request -> budget.onRequest(SERVICE));
-    assertThat(takeAll(budget)).isEqualTo(1);
+    assertThat(acquireAll(budget)).isEqualTo(1);
   }
 
   @Test
-  void nothingIsSentAgainWhileOthersAreUnknown() {
-    assertThat(takeAll(budget(0))).isEqualTo(0);
+  void noRetriesWhileInstanceCountIsUnknown() {
+    assertThat(acquireAll(budget(0))).isEqualTo(0);
   }
 
   @Test
   void servicesDoNotShareTheirBudgets() {
     SharedRetryBudget budget = budget(6);
-    takeAll(budget);
+    acquireAll(budget);
 
     assertThat(budget.tryAcquire("asistan")).isTrue();
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamListTest.java
@@ -17,7 +17,7 @@
       new UpstreamList(List.of(upstream("i-1", "10.0.0.1"), upstream("i-2", "10.0.0.2")));
 
   @Test
-  void keepsWhatIsMissingAfterAnOutage() {
+  void keepsMissingUpstreamsAfterAnOutage() {
     UpstreamList kept =
         new UpstreamList(List.of(upstream("i-2", "10.0.0.2"))).withMissingFrom(earlier);
 
@@ -25,9 +25,9 @@
         .containsExactly("i-1", "i-2");
   }
 
-  // The address of an upstream has passed on to another one: the first is surely gone.
+  // The address of an upstream is used by another one: the first has certainly terminated.
   @Test
-  void doesNotKeepAnUpstreamWhoseAddressIsTaken() {
+  void doesNotKeepUpstreamWhoseAddressIsReused() {
     UpstreamList kept =
         new UpstreamList(List.of(upstream("i-9", "10.0.0.1"))).withMissingFrom(earlier);
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -16,9 +16,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// Pattern: 40 of 100 upstreams crash and come back under other names while no instance can read the
-// list. Of 60 instances each would find each of the 40 by a request of its own: thousands of sends
-// that do not run, more than may be sent again, so their callers are refused.
+// Guards against each instance detecting the same failures by itself: 40 of 100 upstreams crash and
+// return under other names while no instance can read the list. Without reports, each of 60
+// instances would detect each of the 40 with a request of its own. That makes thousands of attempts
+// that do not run, more than may be retried, so their callers are refused.
 class UpstreamStatusBroadcastTest {
 
   private static final String SERVICE = "asistan";
@@ -27,11 +28,11 @@
   private static final int REPLACED = 40;
   private static final int SECONDS = 9;
 
-  /** Requests of one instance in a second: 370 of all. */
+  /** Requests per second of one instance: 370 of all. */
   private static final int REQUESTS_PER_S = 6;
 
-  /** Each upstream is found by a few instances that send to it at the same moment. */
-  private static final int MOST_FINDS = 4 * REPLACED;
+  /** Each upstream is detected by the few instances that send to it at the same moment. */
+  private static final int MAX_DETECTIONS = 4 * REPLACED;
 
   private final ManualTimers timers = new ManualTimers();
   private final Random random = new Random(7);
@@ -63,25 +64,25 @@
   private final class Instance {
     private final InstanceRecord record;
     private final UpstreamLoads loads = new UpstreamLoads();
-    private final Set<String> ended = new HashSet<>();
+    private final Set<String> terminated = new HashSet<>();
     private final LeavingUpstreams leaving = new LeavingUpstreams(timers);
-    private final UpstreamStatusBroadcast news;
+    private final UpstreamStatusBroadcast broadcast;
     private final UpstreamPicker picker;
 
-    Instance(int number, UpstreamStatusReportSender reports) {
+    Instance(int number, UpstreamStatusReportSender sender) {
       this.record =
           new InstanceRecord("e-" + number, "e-" + number, domain(number), "::1", 1, false);
-      this.news =
+      this.broadcast =
           new UpstreamStatusBroadcast(
               record,
               this::others,
-              reports,
+              sender,
               list,
               loads,
               new WarmUpListener() {
                 @Override
                 public void onProcessEnded(RegisteredUpstream upstream) {
-                  ended.add(upstream.id());
+                  terminated.add(upstream.id());
                 }
 
                 @Override
@@ -120,8 +121,8 @@
     }
   }
 
-  private void startFleet(UpstreamStatusReportSender reports) {
-    IntStream.range(0, INSTANCES).forEach(number -> instances.add(new Instance(number, reports)));
+  private void startFleet(UpstreamStatusReportSender sender) {
+    IntStream.range(0, INSTANCES).forEach(number -> instances.add(new Instance(number, sender)));
   }
 
   private void deliver(UpstreamStatusReport report, List<InstanceRecord> to) {
@@ -130,19 +131,19 @@
         () ->
             instances.stream()
                 .filter(instance -> to.contains(instance.record))
-                .forEach(instance -> instance.news.onReport(report)));
+                .forEach(instance -> instance.broadcast.onReport(report)));
   }
 
-  /** Plays the cut, and counts the requests that met a replaced upstream. */
-  private int countFinds() {
+  /** Simulates the outage and returns the number of requests sent to a replaced upstream. */
+  private int countDetections() {
     int finds = 0;
     for (int second = 0; second < SECONDS; second++) {
-      for (int turn = 0; turn < REQUESTS_PER_S; turn++) {
+      for (int request = 0; request < REQUESTS_PER_S; request++) {
         for (Instance instance : instances) {
           RegisteredUpstream chosen = instance.pick();
           if (Integer.parseInt(chosen.id().substring(2)) < REPLACED) {
             finds++;
-            instance.news.onDetected(chosen, UpstreamStatus.REPLACED);
+            instance.broadcast.onDetected(chosen, UpstreamStatus.REPLACED);
           }
         }
         timers.advanceMs(1_000 / REQUESTS_PER_S);
@@ -152,38 +153,39 @@
   }
 
   @Test
-  void eachReplacedUpstreamIsFoundByFewInstances() {
+  void eachReplacedUpstreamIsDetectedByFewInstances() {
     startFleet(this::deliver);
 
-    assertThat(countFinds()).isAtMost(MOST_FINDS);
+    assertThat(countDetections()).isAtMost(MAX_DETECTIONS);
   }
 
   @Test
-  void withoutReportsEachInstanceFindsThemAll() {
+  void withoutReportsEachInstanceDetectsThemAll() {
     startFleet((report, to) -> {});
 
-    assertThat(countFinds()).isAtLeast(3 * MOST_FINDS);
+    assertThat(countDetections()).isAtLeast(3 * MAX_DETECTIONS);
   }
 
   @Test
-  void processThatEndedIsAvoidedAndTakenToWarmUpEverywhere() {
+  void terminatedProcessIsAvoidedAndAssumedToWarmUpEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.ENDED);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.ENDED);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
       assertThat(instance.loads.of(upstream(3).incarnation()).isAvoided(timers.nowMs())).isTrue();
-      assertThat(instance.ended).containsExactly("i-3");
+      assertThat(instance.terminated).containsExactly("i-3");
     }
   }
 
-  // The store is silent, so the list shows no leave; the upstream ends under what it still gets.
+  // The store is unreachable, so the list does not show that the upstream is leaving, and the
+  // upstream terminates under requests that it still gets.
   @Test
-  void upstreamThatSaysItLeavesIsKnownEverywhere() {
+  void announcedLeavingIsKnownEverywhere() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -191,25 +193,25 @@
     }
   }
 
-  // It was avoided for being full just before, which is over soon; the leave is not.
+  // The upstream was avoided because it was full, which is over soon, while leaving is final.
   @Test
-  void leaveIsTakenAlsoOfAnUpstreamThatIsAvoided() {
+  void leavingIsRecordedForAvoidedUpstream() {
     startFleet(this::deliver);
     Instance other = instances.get(1);
     other.loads.of(upstream(3).incarnation()).avoidFor(timers.nowMs(), 250);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.LEAVING);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.LEAVING);
     timers.advanceMs(1);
 
     assertThat(other.leaving.isLeaving(upstream(3))).isTrue();
   }
 
-  // What one domain cannot reach, others may reach.
+  // Other failure domains may reach what one cannot reach.
   @Test
-  void unreachableUpstreamIsToldInTheOwnDomainOnly() {
+  void unreachableUpstreamIsReportedInOwnDomainOnly() {
     startFleet(this::deliver);
 
-    instances.get(0).news.onDetected(upstream(3), UpstreamStatus.UNREACHABLE);
+    instances.get(0).broadcast.onDetected(upstream(3), UpstreamStatus.UNREACHABLE);
     timers.advanceMs(1);
 
     for (Instance instance : instances) {
@@ -218,29 +220,31 @@
     }
   }
 
-  // The upstream has started again at another address by the time the report arrives.
+  // The upstream has restarted at another address by the time the report arrives.
   @Test
-  void reportAboutAnotherAddressIsPassedOver() {
+  void ignoresReportAboutAnotherAddress() {
     startFleet(this::deliver);
     Instance one = instances.get(0);
 
-    one.news.onReport(new UpstreamStatusReport("i-3@0", "10.9.9.9", 80, UpstreamStatus.REPLACED));
+    one.broadcast.onReport(
+        new UpstreamStatusReport("i-3@0", "10.9.9.9", 80, UpstreamStatus.REPLACED));
 
     assertThat(one.loads.of("i-3@0").isAvoided(timers.nowMs())).isFalse();
   }
 
-  // A whole domain ends. Each instance reports a bounded number of upstreams in a second.
+  // A whole failure domain goes down. Each instance reports a bounded number of upstreams per
+  // second.
   @Test
   void reportsAreBounded() {
     startFleet((report, to) -> {});
     Instance one = instances.get(0);
 
     IntStream.range(0, UPSTREAMS)
-        .forEach(number -> one.news.onDetected(upstream(number), UpstreamStatus.ENDED));
+        .forEach(number -> one.broadcast.onDetected(upstream(number), UpstreamStatus.ENDED));
 
-    assertThat(one.news.sentCount()).isEqualTo(20);
+    assertThat(one.broadcast.sentCount()).isEqualTo(20);
     timers.advanceMs(2_000);
-    one.news.onDetected(upstream(1), UpstreamStatus.ENDED);
-    assertThat(one.news.sentCount()).isEqualTo(21);
+    one.broadcast.onDetected(upstream(1), UpstreamStatus.ENDED);
+    assertThat(one.broadcast.sentCount()).isEqualTo(21);
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/view/StatePollerTest.java
@@ -50,27 +50,27 @@
     private Set<String> evacuated = Set.of();
     private UpstreamList registered = new UpstreamList(List.of(LIVING));
     private Optional<CompletableFuture<DeclaredConfig>> delayed = Optional.empty();
-    private final List<ReadMode> extents = new ArrayList<>();
-    private boolean away;
+    private final List<ReadMode> modes = new ArrayList<>();
+    private boolean unreachable;
     private boolean hangs;
 
     @Override
-    public CompletableFuture<DeclaredConfig> readConfig(ReadMode extent) {
-      extents.add(extent);
+    public CompletableFuture<DeclaredConfig> readConfig(ReadMode mode) {
+      modes.add(mode);
       if (delayed.isPresent()) {
         return delayed.get();
       }
-      return away
+      return unreachable
           ? failed()
           : CompletableFuture.completedFuture(new DeclaredConfig(Optional.of(newest), evacuated));
     }
 
     @Override
-    public CompletableFuture<UpstreamList> readUpstreams(ReadMode extent) {
+    public CompletableFuture<UpstreamList> readUpstreams(ReadMode mode) {
       if (hangs) {
         return new CompletableFuture<>();
       }
-      return away ? failed() : CompletableFuture.completedFuture(registered);
+      return unreachable ? failed() : CompletableFuture.completedFuture(registered);
     }
 
     private static <T> CompletableFuture<T> failed() {
@@ -78,17 +78,17 @@
     }
   }
 
-  private void follow() {
-    follow(SETTINGS);
+  private void startPolling() {
+    startPolling(SETTINGS);
   }
 
-  private void follow(ViewSettings settings) {
+  private void startPolling(ViewSettings settings) {
     var unused = new StatePoller(store, plan, evacuatedDomains, upstreams, timers, settings);
   }
 
   @Test
   void takesNewPlanWithinOnePeriod() {
-    follow();
+    startPolling();
     store.newest = version(2);
 
     timers.advanceMs(SETTINGS.planPollMs());
@@ -96,11 +96,11 @@
     assertThat(plan.read().version()).isEqualTo(2);
   }
 
-  // An answer that was read earlier arrives after a newer one: the plan in force stays.
+  // A response from an earlier read arrives after a newer one: the plan in force stays.
   @Test
-  void neverGoesBackToAnOlderPlan() {
+  void neverRevertsToAnOlderPlan() {
     store.newest = version(5);
-    follow();
+    startPolling();
     store.newest = version(4);
 
     timers.advanceMs(5 * SETTINGS.planPollMs());
@@ -108,11 +108,11 @@
     assertThat(plan.read().version()).isEqualTo(5);
   }
 
-  // A read hangs on a connection that has gone silent, while new connections work. An upstream says
-  // that it leaves just then; requests must stop going there as soon as without the silent read.
+  // A read hangs on a stalled connection, while new connections work. An upstream announces at that
+  // moment that it is leaving; requests to it must stop as soon as without the stalled read.
   @Test
   void hangingReadDoesNotDelayTheNextOne() {
-    follow();
+    startPolling();
     store.hangs = true;
     timers.advanceMs(SETTINGS.upstreamPollMs());
     store.hangs = false;
@@ -124,8 +124,8 @@
   }
 
   @Test
-  void forgetsAnUpstreamThatIsNoLongerRegistered() {
-    follow();
+  void removesUpstreamThatIsNoLongerRegistered() {
+    startPolling();
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(SETTINGS.planPollMs());
@@ -133,16 +133,17 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // The store is away for six seconds and forgets who registered. Callers are still served by the
-  // upstreams known before, which register again within two seconds; those that do not are gone.
+  // The store is unreachable for six seconds and loses the registrations. Callers are still served
+  // by the upstreams known before, which register again within two seconds; those that do not are
+  // removed.
   @Test
-  void keepsUpstreamsThatAreMissingAfterAnOutageForWhile() {
-    follow();
-    store.away = true;
+  void keepsMissingUpstreamsDuringGracePeriod() {
+    startPolling();
+    store.unreachable = true;
     timers.advanceMs(6_000);
     assertThat(upstreams.read().contains("i-1")).isTrue();
 
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
     timers.advanceMs(1_500);
     assertThat(upstreams.read().contains("i-1")).isTrue();
@@ -151,17 +152,17 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // An upstream is taken off the list while this instance alone has lost the store. It is kept for
-  // the time in which living ones register again, and gets nothing new from the end of that time:
-  // not only from the next turn to read, which may come nearly a period later.
+  // An upstream is removed from the list while only this instance cannot reach the store. It is
+  // kept for the grace period in which live upstreams register again, and gets no requests after
+  // the end of that period, rather than only from the next periodic read nearly one interval later.
   @Test
-  void stopsKeepingMissingUpstreamsAtTheEndOfTheirTime() {
+  void removesMissingUpstreamsAtTheEndOfTheGracePeriod() {
     ViewSettings settings = new ViewSettings(500, 700, 2_500);
     long regainedMs = 6_500;
-    follow(settings);
-    store.away = true;
+    startPolling(settings);
+    store.unreachable = true;
     timers.advanceMs(regainedMs - 1);
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(settings.recoveryGraceMs());
@@ -171,14 +172,14 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // A single read fails. No registration can have lapsed in that time, so an upstream that is
-  // missing afterwards has left, and gets nothing new.
+  // A single read fails. No registration can have expired in that time, so an upstream that is
+  // missing afterwards has left and gets no new requests.
   @Test
   void doesNotKeepUpstreamsAfterSingleFailedRead() {
-    follow();
-    store.away = true;
+    startPolling();
+    store.unreachable = true;
     timers.advanceMs(SETTINGS.planPollMs());
-    store.away = false;
+    store.unreachable = false;
     store.registered = UpstreamList.empty();
 
     timers.advanceMs(2 * SETTINGS.planPollMs());
@@ -186,11 +187,11 @@
     assertThat(upstreams.read().contains("i-1")).isFalse();
   }
 
-  // Nearly all reads find what the last one found. Whoever keeps books by the list would go through
-  // dozens of upstreams for each, several times a second.
+  // Nearly all reads return an unchanged list. Subscribers would process dozens of upstreams for
+  // each, several times a second.
   @Test
-  void tellsNobodyOfListThatSaysTheSame() {
-    follow();
+  void doesNotPublishUnchangedList() {
+    startPolling();
     AtomicInteger toldCount = new AtomicInteger();
     upstreams.subscribe(list -> toldCount.incrementAndGet());
     store.registered = new UpstreamList(List.of(LIVING));
@@ -202,17 +203,17 @@
   }
 
   @Test
-  void tellsOfFirstListAlsoWhenItIsEmpty() {
+  void publishesFirstListEvenIfEmpty() {
     store.registered = new UpstreamList(List.of());
 
-    follow();
+    startPolling();
 
     assertThat(upstreams.read().isKnown()).isTrue();
   }
 
   @Test
-  void followsWhichDomainsAreEvacuatedAndTakenBack() {
-    follow();
+  void publishesBeginAndEndOfEvacuations() {
+    startPolling();
     store.evacuated = Set.of("konya");
     timers.advanceMs(500);
     assertThat(evacuatedDomains.read()).containsExactly("konya");
@@ -223,13 +224,13 @@
     assertThat(evacuatedDomains.read()).isEmpty();
   }
 
-  // The store cannot be read for a while. What was known of evacuations before holds on: requests
-  // to a domain that is being emptied would be lost.
+  // The store cannot be read for a while. Known evacuations stay in effect, as requests to a
+  // failure domain that is being evacuated would be lost.
   @Test
-  void evacuationHoldsWhileTheStoreIsAway() {
+  void evacuationHoldsWhileTheStoreIsUnreachable() {
     store.evacuated = Set.of("konya");
-    follow();
-    store.away = true;
+    startPolling();
+    store.unreachable = true;
     store.evacuated = Set.of();
 
     timers.advanceMs(5_000);
@@ -237,11 +238,11 @@
     assertThat(evacuatedDomains.read()).containsExactly("konya");
   }
 
-  // An answer from before the evacuation is late and arrives behind the answer to a later read. If
-  // it counted, the domain would get requests again until the next read.
+  // A response from before the evacuation arrives after the response to a later read. If it
+  // counted, the failure domain would get requests again until the next read.
   @Test
-  void lateAnswerDoesNotTakeAnEvacuationBack() {
-    follow();
+  void lateResponseDoesNotEndAnEvacuation() {
+    startPolling();
     CompletableFuture<DeclaredConfig> late = new CompletableFuture<>();
     store.delayed = Optional.of(late);
     timers.advanceMs(500);
@@ -254,14 +255,14 @@
     assertThat(evacuatedDomains.read()).containsExactly("konya");
   }
 
-  // The store may not tell a change: whatever was missed shows with the next whole read.
+  // The store may not report a change; a missed change becomes visible with the next full read.
   @Test
-  void oneReadInFourIsWhole() {
-    follow();
+  void oneReadInFourIsFull() {
+    startPolling();
 
     timers.advanceMs(4 * 500);
 
-    assertThat(store.extents)
+    assertThat(store.modes)
         .containsExactly(
             ReadMode.FULL,
             ReadMode.INCREMENTAL,
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/warmup/WarmUpSimulation.java
@@ -18,13 +18,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Instances with views of each other, and upstreams that turn cold under all of them. */
+/** Instances with views of each other, and upstreams that become cold while these send requests. */
 final class WarmUpSimulation {
 
   static final int DOMAINS = 4;
-  static final int MOST_IN_A_SECOND = 18;
+  static final int MAX_REQUESTS_PER_SECOND = 18;
 
-  /** Views of eight instances are current for so long. */
+  /** How long the views of eight instances are current. */
   static final long CURRENT_MS = SimulatedFleet.currentMs(8);
 
   private static final WarmUpPlan PLAN = new WarmUpPlan(3_000, 8.7);
@@ -32,8 +32,8 @@
 
   private final ManualTimers timers;
   private final SimulatedFleet fleet;
-  private final Map<String, Instance> living = new TreeMap<>();
-  private final Map<Integer, Long> words = new TreeMap<>();
+  private final Map<String, Instance> running = new TreeMap<>();
+  private final Map<Integer, Long> registrationCounts = new TreeMap<>();
 
   WarmUpSimulation(ManualTimers timers, int count) {
     this.timers = timers;
@@ -46,17 +46,17 @@
 
   Instance start(String id, int domain) {
     Instance instance = new Instance(fleet.start(id, "domain-" + domain), timers);
-    living.put(id, instance);
+    running.put(id, instance);
     return instance;
   }
 
   void stop(String id) {
-    living.remove(id);
+    running.remove(id);
     fleet.stop(id);
   }
 
   List<Instance> instances() {
-    return new ArrayList<>(living.values());
+    return new ArrayList<>(running.values());
   }
 
   Instance senderTo(RegisteredUpstream upstream) {
@@ -66,9 +66,9 @@
         .orElseThrow();
   }
 
-  /** Lets an upstream turn cold, and all instances read of it. */
-  RegisteredUpstream turnCold(int number, long leftMs) {
-    long word = words.merge(number, 1L, Long::sum);
+  /** Makes an upstream cold, and lets all instances read it. */
+  RegisteredUpstream makeCold(int number, long remainingMs) {
+    long sequence = registrationCounts.merge(number, 1L, Long::sum);
     RegisteredUpstream cold =
         new RegisteredUpstream(
             "i-" + number,
@@ -78,13 +78,13 @@
             "domain-" + number % DOMAINS,
             16,
             false,
-            OptionalLong.of(leftMs),
-            new RegistrationVersion(1, word));
+            OptionalLong.of(remainingMs),
+            new RegistrationVersion(1, sequence));
     instances().forEach(instance -> instance.list.publish(new UpstreamList(List.of(cold))));
     return cold;
   }
 
-  /** One instance, as far as it sends to upstreams that warm up. */
+  /** One instance that sends to upstreams that are warming up. */
   static final class Instance {
 
     private final SimulatedFleet.Member member;
@@ -122,7 +122,7 @@
     }
 
     void cutOff() {
-      member.cutOff();
+      member.partition();
     }
 
     void reconnect() {
