--- a/mothrill-core/src/main/java/io/mothrill/core/routing/AdmissionClass.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/AdmissionClass.java
@@ -1,11 +1,11 @@
 package io.mothrill.core.routing;
 
-/** How a waiting call is measured against a window. */
+/** The class under which the admission policy checks a queued call. */
 public enum AdmissionClass {
   /** An urgent call. */
   URGENT,
   /** A batch call. */
   BATCH,
-  /** A batch call that has waited so long that it may take one slot more. */
+  /** A batch call that has waited long enough to use one slot beyond the batch limit. */
   AGED_BATCH
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/AdmissionPolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/AdmissionPolicy.java
@@ -1,14 +1,14 @@
 package io.mothrill.core.routing;
 
-/** Decides whether an upstream may get one more call of a class. */
+/** Decides whether one more call of a class may be sent to an upstream. */
 public interface AdmissionPolicy {
 
   /**
-   * Looks whether there is room.
+   * Checks whether the upstream has a free slot for a call of the given class.
    *
    * @param upstream the upstream
-   * @param admissionClass what kind of call it is
-   * @param nowMs the time
+   * @param admissionClass the class of the call
+   * @param nowMs the current time of the timer service, in milliseconds
    * @return true when the call may be sent now
    */
   boolean admits(UpstreamState upstream, AdmissionClass admissionClass, long nowMs);
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/AffinityScorer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/AffinityScorer.java
@@ -10,7 +10,7 @@
   /**
    * Creates the scorer.
    *
-   * @param gain what a likely cache hit is worth
+   * @param gain the amount by which a likely cache hit lowers the score
    */
   public AffinityScorer(double gain) {
     this.gain = gain;
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/Assignment.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/Assignment.java
@@ -19,7 +19,7 @@
   }
 
   /**
-   * Gives the upstream.
+   * Returns the upstream.
    *
    * @return the upstream that the call goes to
    */
@@ -27,7 +27,7 @@
     return upstream;
   }
 
-  /** Frees the slot; calling it again has no effect. */
+  /** Releases the slot. Calling it more than once has no effect. */
   public void release() {
     if (released.compareAndSet(false, true)) {
       upstream.endCall(priority);
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/AvoidanceScorer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/AvoidanceScorer.java
@@ -1,6 +1,9 @@
 package io.mothrill.core.routing;
 
-/** Keeps calls from upstreams that failed of late, without ever emptying the set. */
+/**
+ * Penalizes upstreams that failed recently. It excludes none of them, so calls can still be sent
+ * when all upstreams have failed.
+ */
 public final class AvoidanceScorer implements Scorer {
 
   private static final double PENALTY = 100;
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/DecisionListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/DecisionListener.java
@@ -1,10 +1,10 @@
 package io.mothrill.core.routing;
 
-/** Gets to know every decision, for logs and for operators who ask about a request. */
+/** Receives every routing decision, for the log and for operators who query a request. */
 public interface DecisionListener {
 
   /**
-   * A call was given to an upstream.
+   * Called when a call has been assigned to an upstream.
    *
    * @param decision the decision
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/DomainScorer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/DomainScorer.java
@@ -1,6 +1,9 @@
 package io.mothrill.core.routing;
 
-/** Prefers upstreams in the instance's own failure domain, which no partition can cut off. */
+/**
+ * Prefers upstreams in the failure domain of this instance, because no partition can separate the
+ * instance from them.
+ */
 public final class DomainScorer implements Scorer {
 
   private final String domain;
@@ -10,7 +13,7 @@
    * Creates the scorer.
    *
    * @param domain the instance's failure domain
-   * @param penalty what another domain costs
+   * @param penalty the score added for an upstream in another failure domain
    */
   public DomainScorer(String domain, double penalty) {
     this.domain = domain;
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/LoadScorer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/LoadScorer.java
@@ -1,6 +1,9 @@
 package io.mothrill.core.routing;
 
-/** Prefers upstreams with free slots: own calls exactly, others' as far as reports tell. */
+/**
+ * Prefers upstreams with free slots. Calls of this instance are counted exactly; calls of other
+ * instances are estimated from load reports.
+ */
 public final class LoadScorer implements Scorer {
 
   private final long fadeMs;
@@ -8,7 +11,7 @@
   /**
    * Creates the scorer.
    *
-   * @param fadeMs the age at which a load report counts for nothing
+   * @param fadeMs the age at which a load report has no weight any more
    */
   public LoadScorer(long fadeMs) {
     this.fadeMs = fadeMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/QueueSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/QueueSettings.java
@@ -1,18 +1,20 @@
 package io.mothrill.core.routing;
 
 /**
- * How calls wait for an upstream.
+ * Settings of the queues of calls that wait for an upstream.
  *
- * @param urgentWaitMs how long an urgent call may wait
- * @param batchWaitMs how long a batch call may wait
- * @param batchAgingMs how long a batch call waits before it may use slots kept for urgent ones
+ * @param urgentWaitMs the longest time that an urgent call may wait
+ * @param batchWaitMs the longest time that a batch call may wait
+ * @param batchAgingMs the time after which a queued batch call may use slots reserved for urgent
+ *     calls
  */
 public record QueueSettings(long urgentWaitMs, long batchWaitMs, long batchAgingMs) {
 
   /**
-   * Gives the settings that suit both deployments.
+   * Returns the default settings for both deployments.
    *
-   * @return five seconds for urgent calls, two minutes for batch
+   * @return five seconds for urgent calls, two minutes for batch calls, of which a batch call ages
+   *     after thirty seconds
    */
   public static QueueSettings standard() {
     return new QueueSettings(5_000, 120_000, 30_000);
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/RecentDecisions.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/RecentDecisions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.tinylog.Logger;
 
-/** Writes one log line per decision, and keeps the last ones for operators who ask. */
+/** Logs every routing decision and retains the latest ones for operators who query a request. */
 public final class RecentDecisions implements DecisionListener {
 
   private static final int MAX_DECISIONS = 4_096;
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Finds the decisions about a request.
+   * Returns the decisions about a request.
    *
-   * @param requestId the run's id
-   * @return its decisions, oldest first; empty when they are no longer kept
+   * @param requestId the id of the run
+   * @return its decisions, oldest first; empty when they are no longer retained
    */
   public List<RoutingDecision> forRequest(String requestId) {
     synchronized (recent) {
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/Router.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/Router.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Gives calls to upstreams: one queue per service. */
+/** Assigns calls to upstreams, with one queue per service. */
 public final class Router {
 
   private final UpstreamRegistry upstreams;
@@ -21,11 +21,11 @@
    * Creates the router.
    *
    * @param upstreams the upstreams of every service
-   * @param selector chooses among those with room
-   * @param admission says which have room
-   * @param timers the time
-   * @param decisions gets to know every decision
-   * @param settings how calls wait
+   * @param selector selects among the upstreams that admit the call
+   * @param admission decides which upstreams admit the call
+   * @param timers the clock and timer service
+   * @param decisions notified of every decision
+   * @param settings the settings of the queues
    */
   public Router(
       UpstreamRegistry upstreams,
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Asks for a slot at an upstream.
+   * Requests a slot at an upstream.
    *
    * @param request the call
    * @return the slot; fails with {@link io.mothrill.core.routing.error.NoCapacityException}
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Counts the waiting calls to a service.
+   * Returns the number of calls to a service that are queued.
    *
    * @param service the service's name
    * @param priority the class
-   * @return calls that wait for a slot
+   * @return the number of calls that wait for a slot
    */
   public int waiting(String service, Priority priority) {
     return queueOf(service).waiting(priority);
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/RoutingDecision.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/RoutingDecision.java
@@ -4,17 +4,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Why a call went where it went.
+ * A routing decision and the scores that led to it.
  *
  * @param request the call
- * @param chosen the chosen upstream's name
+ * @param chosen the name of the selected upstream
  * @param candidates the upstreams that were compared, with their scores
  * @param waitedMs how long the call waited for a free slot
  */
 public record RoutingDecision(
     RoutingRequest request, String chosen, List<Candidate> candidates, long waitedMs) {
 
-  /** Takes a copy of the candidates. */
+  /** Copies the candidates. */
   public RoutingDecision {
     candidates = List.copyOf(candidates);
   }
@@ -23,12 +23,12 @@
    * One upstream that was compared.
    *
    * @param name its name
-   * @param score its score; the least is best
+   * @param score its score; the lowest is best
    */
   public record Candidate(String name, double score) {}
 
   /**
-   * Writes the candidates for a log line.
+   * Formats the candidates for a log line.
    *
    * @return for example {@code engine-1=0.250 engine-2=0.500}
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/RoutingRequest.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/RoutingRequest.java
@@ -4,15 +4,16 @@
 import java.util.Set;
 
 /**
- * A call that wants an upstream.
+ * A call that needs a slot at an upstream.
  *
- * @param requestId the run's id
+ * @param requestId the id of the run
  * @param service the service's name
  * @param team the caller's team, for fairness between teams
  * @param priority the class of the call
- * @param affinity calls with the same text are better off at the same upstream; may be empty
- * @param excluded names of upstreams that already failed this call
- * @param deadlineMs the time on the timer service after which the call is of no use
+ * @param affinity the affinity key: calls with the same text are preferably sent to the same
+ *     upstream; may be empty
+ * @param excluded the names of the upstreams at which an earlier attempt of this call failed
+ * @param deadlineMs the deadline of the call on the timer service, in milliseconds
  */
 public record RoutingRequest(
     String requestId,
@@ -23,7 +24,7 @@
     Set<String> excluded,
     long deadlineMs) {
 
-  /** Takes a copy of the set. */
+  /** Copies the set. */
   public RoutingRequest {
     excluded = Set.copyOf(excluded);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/Scorer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/Scorer.java
@@ -1,6 +1,8 @@
 package io.mothrill.core.routing;
 
-/** One reason to prefer an upstream; the least score is best. */
+/**
+ * One criterion for the selection of an upstream. The upstream with the lowest score is selected.
+ */
 public interface Scorer {
 
   /**
@@ -8,8 +10,8 @@
    *
    * @param upstream the upstream
    * @param request the call
-   * @param nowMs the time
-   * @return about 1 for a whole upstream's worth of load, 0 for none, negative for a gain
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @return about 1 for a fully loaded upstream, 0 for no effect, negative for a preference
    */
   double score(UpstreamState upstream, RoutingRequest request, long nowMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/ServiceQueue.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/ServiceQueue.java
@@ -16,8 +16,8 @@
 /**
  * The calls to one service that wait for a slot at one of its upstreams.
  *
- * <p>Urgent calls go first. A batch call that has waited long enough may use the slots that are
- * kept for urgent ones, so that it completes however many of those there are.
+ * <p>Urgent calls are served first. A batch call that has waited long enough may use slots reserved
+ * for urgent calls, so that it completes even while urgent calls keep arriving.
  */
 public final class ServiceQueue {
 
@@ -70,10 +70,10 @@
   private record Dispatched(WaitingCall waiting, Assignment assignment) {}
 
   /**
-   * Asks for a slot.
+   * Requests a slot.
    *
    * @param request the call
-   * @return the slot; fails with {@link NoCapacityException} when there will be none in time
+   * @return the slot; fails with {@link NoCapacityException} when none becomes free in time
    */
   public CompletableFuture<Assignment> submit(RoutingRequest request) {
     WaitingCall waiting = new WaitingCall(request, timers.nowMs());
@@ -103,7 +103,10 @@
     return request.priority() == Priority.URGENT ? settings.urgentWaitMs() : settings.batchWaitMs();
   }
 
-  /** Refuses at once what would wait in vain, so that the caller can try elsewhere. */
+  /**
+   * Returns a refusal when the call could not be served within its maximum wait. Refusing it at
+   * once lets the caller use another instance.
+   */
   private Optional<NoCapacityException> refusalOf(RoutingRequest request) {
     if (candidates(request).isEmpty()) {
       return Optional.of(NoCapacityException.noUpstream(service, earliestBackoffEndMs()));
@@ -114,7 +117,7 @@
         : Optional.empty();
   }
 
-  /** Estimates the wait from the calls ahead and the rate at which calls were served of late. */
+  /** Estimates the wait from the number of calls ahead and the recent completion rate. */
   private long estimatedWaitMs(RoutingRequest request) {
     int ahead = urgent.size() + (request.priority() == Priority.BATCH ? batch.size() : 0);
     double perSecond = completionRate.getRate(TimeUnit.SECONDS);
@@ -124,7 +127,10 @@
     return (long) (ahead / perSecond * SECOND_MS);
   }
 
-  /** When every upstream has failed the call once, all of them are tried again. */
+  /**
+   * Returns the upstreams that may be used. When the call has failed at every upstream, all of them
+   * are retried.
+   */
   private List<UpstreamState> candidates(RoutingRequest request) {
     long nowMs = timers.nowMs();
     List<UpstreamState> all =
@@ -139,7 +145,10 @@
         .filter(upstream -> !upstream.isLeaving() && !upstream.isEvacuated());
   }
 
-  /** The earliest end of a rest, where upstreams are there that rest. */
+  /**
+   * Returns the time until the first upstream ends its backoff, or a default when no upstream is
+   * available.
+   */
   private long earliestBackoffEndMs() {
     long nowMs = timers.nowMs();
     return availableUpstreams()
@@ -160,7 +169,7 @@
     }
   }
 
-  /** Gives free slots to waiting calls; called whenever a slot may have become free. */
+  /** Assigns free slots to queued calls. Called whenever a slot may have become free. */
   public void dispatch() {
     List<Dispatched> dispatched = new ArrayList<>();
     synchronized (this) {
@@ -233,10 +242,10 @@
   }
 
   /**
-   * Counts the waiting calls.
+   * Returns the number of queued calls.
    *
    * @param priority the class
-   * @return calls that wait for a slot
+   * @return the number of calls that wait for a slot
    */
   public synchronized int waiting(Priority priority) {
     return priority == Priority.URGENT ? urgent.size() : batch.size();
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/SharedAdmissionPolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/SharedAdmissionPolicy.java
@@ -1,6 +1,9 @@
 package io.mothrill.core.routing;
 
-/** One window for both classes: the baseline that the split window is measured against. */
+/**
+ * Shares all slots between both classes. It is the baseline against which
+ * {@link SplitAdmissionPolicy} is compared.
+ */
 public final class SharedAdmissionPolicy implements AdmissionPolicy {
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/SplitAdmissionPolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/SplitAdmissionPolicy.java
@@ -3,12 +3,13 @@
 import io.mothrill.core.resource.Priority;
 
 /**
- * Keeps part of every upstream free of long calls, and a small part for them alone.
+ * Reserves a share of the slots of every upstream for urgent calls, and a smaller share for batch
+ * calls.
  *
- * <p>Failure: long reviews fill all slots. Symptom: an urgent call waits until one of them ends.
- * Slots that no long call may take let an urgent one start at once. A long call that has waited too
- * long may take one such slot per upstream, so that it completes, and no more than one, so that
- * many old long calls cannot push out the urgent ones.
+ * <p>Without the reserved slots, long batch calls fill all slots and an urgent call waits until one
+ * of them ends. A batch call that has waited too long may use one of the slots reserved for urgent
+ * calls, so that it completes. It is only one slot per upstream, because many aged batch calls
+ * would otherwise displace the urgent calls.
  */
 public final class SplitAdmissionPolicy implements AdmissionPolicy {
 
@@ -21,7 +22,7 @@
    *
    * @param urgentOnlyShare the share of slots that batch calls may not take
    * @param batchOnlyShare the share of slots that urgent calls may not take
-   * @param fadeMs the age at which a load report counts for nothing
+   * @param fadeMs the age at which a load report has no weight any more
    */
   public SplitAdmissionPolicy(double urgentOnlyShare, double batchOnlyShare, long fadeMs) {
     this.urgentOnlyShare = urgentOnlyShare;
@@ -48,7 +49,10 @@
     return upstream.inFlight(Priority.BATCH) + upstream.othersInFlight(nowMs, fadeMs);
   }
 
-  /** Even an upstream with one slot serves both classes. */
+  /**
+   * Returns the slots that a class may use. It is at least one, so that an upstream with a single
+   * slot serves both classes.
+   */
   private static int usableSlots(UpstreamState upstream, double reservedShare) {
     int slots = upstream.spec().slots();
     return Math.max(1, slots - (int) Math.ceil(slots * reservedShare));
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/TeamQueue.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/TeamQueue.java
@@ -10,12 +10,12 @@
 import java.util.function.Predicate;
 
 /**
- * Waiting calls of one class, served team by team.
+ * The queued calls of one class, served round-robin by team.
  *
- * <p>Failure: one large team fills the queue. Symptom: nine small teams wait behind all of its
- * calls. Each team has a queue of its own, and the teams take turns.
+ * <p>Each team has a queue of its own and the teams take turns. With one queue for all, a single
+ * large team could fill it, and nine small teams would wait behind all of its calls.
  *
- * @param <T> a waiting call
+ * @param <T> the type of a queued call
  */
 final class TeamQueue<T> {
 
@@ -31,7 +31,10 @@
     size++;
   }
 
-  /** Takes the first call of the first team in turn that satisfies a condition. */
+  /**
+   * Removes and returns the first call, in the order of the teams' turns, that satisfies a
+   * condition.
+   */
   Optional<T> pollFirst(Predicate<T> condition) {
     for (String team : new ArrayList<>(byTeam.keySet())) {
       T head = byTeam.get(team).peekFirst();
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Collectors;
 
-/** The upstreams of every service, following the configuration; counts survive its changes. */
+/**
+ * The upstreams of every service, updated with the configuration. The counts of calls in flight
+ * survive configuration changes.
+ */
 public final class UpstreamRegistry {
 
   private final Map<String, UpstreamState> states = new ConcurrentHashMap<>();
@@ -21,9 +24,9 @@
       new AtomicReference<>(Map.of());
 
   /**
-   * Creates the table.
+   * Creates the registry.
    *
-   * @param config the configuration to follow
+   * @param config the configuration whose changes are applied
    */
   public UpstreamRegistry(PublishedValue<ConfigSnapshot> config) {
     config.subscribe(this::apply);
@@ -43,7 +46,10 @@
             .collect(Collectors.groupingBy(state -> state.spec().service())));
   }
 
-  /** An upstream at another address is another process: what was known of it no longer holds. */
+  /**
+   * Adds or updates an upstream. An upstream at another address is another process, so the state of
+   * the previous one is dropped.
+   */
   private void declare(Resource resource) {
     UpstreamSpec spec = (UpstreamSpec) resource.spec();
     states.compute(
@@ -63,17 +69,17 @@
   }
 
   /**
-   * Lists the upstreams of a service.
+   * Returns the upstreams of a service.
    *
    * @param service the service's name
-   * @return the upstreams in order of their names, leaving ones too
+   * @return the upstreams sorted by name, including those that are leaving
    */
   public List<UpstreamState> of(String service) {
     return byService.get().getOrDefault(service, List.of());
   }
 
   /**
-   * Finds an upstream.
+   * Returns an upstream by name.
    *
    * @param name its name
    * @return the upstream, or empty
@@ -83,10 +89,10 @@
   }
 
   /**
-   * Says whether an upstream is still declared at its address and takes requests.
+   * Checks whether an upstream is still registered at its address and accepts requests.
    *
-   * @param upstream the upstream as it was when it was chosen
-   * @return true when it is the same one and does not leave
+   * @param upstream the upstream as it was when it was selected
+   * @return true when it is the same upstream and is not leaving
    */
   public boolean isServing(RegisteredUpstream upstream) {
     return find(upstream.id())
@@ -97,7 +103,7 @@
   }
 
   /**
-   * Lists all upstreams.
+   * Returns all upstreams.
    *
    * @return the upstreams
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamSelector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamSelector.java
@@ -8,10 +8,11 @@
 import java.util.Random;
 
 /**
- * Chooses an upstream: compares a few that have room, and takes the one with the least score.
+ * Selects an upstream by comparing a random sample of the eligible ones and taking the one with the
+ * lowest score.
  *
- * <p>Comparing two at random is nearly as even as comparing all, and it does not send every
- * instance to the same upstream when their load reports are equally old.
+ * <p>A sample of two balances nearly as evenly as comparing all, and it keeps instances with
+ * equally old load reports from all selecting the same upstream.
  */
 public final class UpstreamSelector {
 
@@ -20,11 +21,11 @@
   private final int sampleSize;
 
   /**
-   * Creates the chooser.
+   * Creates the selector.
    *
-   * @param scorers the reasons to prefer an upstream; their scores are added
-   * @param random picks whom to compare
-   * @param sampleSize how many to compare
+   * @param scorers the selection criteria; their scores are summed
+   * @param random draws the sample
+   * @param sampleSize the number of upstreams to compare
    */
   public UpstreamSelector(List<Scorer> scorers, Random random, int sampleSize) {
     this.scorers = List.copyOf(scorers);
@@ -33,22 +34,22 @@
   }
 
   /**
-   * The upstream that was chosen, with those that it was compared with.
+   * The selected upstream together with the upstreams that were compared.
    *
-   * @param upstream the chosen upstream
-   * @param candidates all that were compared
+   * @param upstream the selected upstream
+   * @param candidates all upstreams that were compared, with their scores
    */
   public record Selection(UpstreamState upstream, List<Candidate> candidates) {}
 
   private record Scored(UpstreamState upstream, Candidate candidate) {}
 
   /**
-   * Chooses among upstreams that have room.
+   * Selects one of the eligible upstreams.
    *
-   * @param eligible upstreams that may get the call
+   * @param eligible the upstreams that admit the call
    * @param request the call
-   * @param nowMs the time
-   * @return the choice, or empty when there are none
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @return the selection, or empty when no upstream is eligible
    */
   public Optional<Selection> select(
       List<UpstreamState> eligible, RoutingRequest request, long nowMs) {
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
@@ -10,7 +10,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One upstream as this instance sees it: exact counts of its own calls, and late reports. */
+/**
+ * The state of one upstream as seen by this instance: exact counts of its own calls, and load
+ * reports that lag.
+ */
 public final class UpstreamState {
 
   private final String name;
@@ -31,7 +34,7 @@
   }
 
   /**
-   * Gives the resource's name.
+   * Returns the resource's name.
    *
    * @return the name
    */
@@ -40,16 +43,17 @@
   }
 
   /**
-   * Gives what was declared.
+   * Returns the spec of the upstream.
    *
-   * @return the spec in force
+   * @return the spec in the current configuration
    */
   public UpstreamSpec spec() {
     return spec.get();
   }
 
   /**
-   * Describes it as one start of an upstream. Declared upstreams do not tell when they started.
+   * Returns this upstream as a registered upstream. The start time is empty, because the
+   * configuration does not contain it.
    *
    * @return the upstream as it is declared now
    */
@@ -72,9 +76,9 @@
   }
 
   /**
-   * Says whether operators are emptying the upstream's failure domain.
+   * Checks whether operators are evacuating the failure domain of the upstream.
    *
-   * @return true when it must get nothing new for now
+   * @return true when it must get no new calls for now
    */
   public boolean isEvacuated() {
     return evacuated;
@@ -85,19 +89,19 @@
   }
 
   /**
-   * Counts this instance's calls at the upstream.
+   * Returns the number of calls that this instance has in flight at the upstream.
    *
-   * @return calls of both classes
+   * @return the calls of both classes
    */
   public int inFlight() {
     return urgentInFlight.get() + batchInFlight.get();
   }
 
   /**
-   * Counts this instance's calls of one class at the upstream.
+   * Returns the number of calls of one class that this instance has in flight at the upstream.
    *
    * @param priority the class
-   * @return calls
+   * @return the calls of that class
    */
   public int inFlight(Priority priority) {
     return counter(priority).get();
@@ -116,7 +120,7 @@
   }
 
   /**
-   * Takes a report.
+   * Records a load report of the upstream.
    *
    * @param next the report
    */
@@ -131,12 +135,13 @@
   /**
    * Estimates the calls of other instances at the upstream.
    *
-   * <p>A report counts everyone's calls. What this instance had there itself is taken off, and the
-   * rest fades with the report's age, since the others' calls end unseen.
+   * <p>A report counts the calls of all instances. The calls that this instance had in flight when
+   * the report arrived are subtracted. The weight of the remainder decreases linearly with the age
+   * of the report, because this instance does not see the calls of others end.
    *
-   * @param nowMs the time
-   * @param fadeMs the age at which a report counts for nothing
-   * @return estimated calls of others, at least 0
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @param fadeMs the age at which a report has no weight any more
+   * @return the estimated number of calls, at least 0
    */
   public double othersInFlight(long nowMs, long fadeMs) {
     return report
@@ -151,61 +156,62 @@
   }
 
   /**
-   * Gives the last report.
+   * Returns the last load report.
    *
-   * @return the report, or empty when none came yet
+   * @return the report, or empty when none has arrived yet
    */
   public Optional<LoadReport> lastReport() {
     return report.get();
   }
 
-  /** Takes the upstream out of choice for good, because a source said that it is leaving. */
+  /** Excludes the upstream from selection permanently, because it is leaving. */
   public void markLeaving() {
     leaving = true;
   }
 
   /**
-   * Says whether the upstream must get nothing new.
+   * Checks whether the upstream is leaving and must get no new calls.
    *
-   * @return true when the configuration, a report or a refusal said so
+   * @return true when the configuration, a load report or a refusal announced it
    */
   public boolean isLeaving() {
     return leaving || spec().leaving();
   }
 
   /**
-   * Gives the upstream nothing new for a time that it has asked for; a longer one stands.
+   * Sends no new calls to the upstream until the end of the backoff that it announced. A later end
+   * that was announced before stays in effect.
    *
-   * @param untilMs the time on the timer service
+   * @param untilMs a time of the timer service, in milliseconds
    */
   public void backOffUntil(long untilMs) {
     backoffUntilMs.accumulateAndGet(untilMs, Math::max);
   }
 
   /**
-   * Says how much longer the upstream wants nothing new.
+   * Returns the remaining backoff of the upstream.
    *
-   * @param nowMs the time
-   * @return milliseconds; 0 when it takes calls
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @return milliseconds; 0 when it accepts calls
    */
   public long backoffLeftMs(long nowMs) {
     return backoffUntilMs.get() <= nowMs ? 0 : backoffUntilMs.get() - nowMs;
   }
 
   /**
-   * Keeps new calls away for a while after a failure.
+   * Avoids the upstream until the given time, because a call to it failed.
    *
-   * @param untilMs the time on the timer service
+   * @param untilMs a time of the timer service, in milliseconds
    */
   public void avoidUntil(long untilMs) {
     avoidUntilMs = untilMs;
   }
 
   /**
-   * Says whether the upstream failed of late.
+   * Checks whether the upstream failed recently.
    *
-   * @param nowMs the time
-   * @return true while others are to be preferred
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @return true while other upstreams are preferred
    */
   public boolean isAvoided(long nowMs) {
     return nowMs < avoidUntilMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/error/NoCapacityException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/error/NoCapacityException.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.routing.error;
 
-/** A call got no upstream; it was not sent anywhere. */
+/** Thrown when a call could not be assigned to an upstream. The call was not sent. */
 public final class NoCapacityException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -13,10 +13,10 @@
   }
 
   /**
-   * No upstream of the service may get new calls.
+   * Creates the error for a service that has no upstream which accepts new calls.
    *
    * @param service the service's name
-   * @param retryAfterMs when to try again
+   * @param retryAfterMs the time until a retry can succeed, in milliseconds
    * @return the error
    */
   public static NoCapacityException noUpstream(String service, long retryAfterMs) {
@@ -24,10 +24,10 @@
   }
 
   /**
-   * The queue is longer than the call can wait.
+   * Creates the error for a queue that is longer than the call may wait.
    *
    * @param service the service's name
-   * @param retryAfterMs when the queue should be shorter
+   * @param retryAfterMs the time until the queue is expected to be shorter, in milliseconds
    * @return the error
    */
   public static NoCapacityException overloaded(String service, long retryAfterMs) {
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Says when to try again.
+   * Returns the time until a retry can succeed.
    *
    * @return milliseconds from now
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/package-info.java
@@ -1,2 +1,5 @@
-/** Which upstream serves a call, and when: classes, windows, queues and choice. */
+/**
+ * Selects the upstream and the time for each call: call classes, admission policies, queues and
+ * scoring.
+ */
 package io.mothrill.core.routing;
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
@@ -61,7 +61,8 @@
     assertThat(batch.isDone()).isFalse();
   }
 
-  // One large team queues many calls; a small team's only call must not wait for all of them.
+  // Guards against starving a small team: its only call must not wait for all queued calls of a
+  // large team.
   @Test
   void letsTeamsTakeTurns() {
     // GIVEN
@@ -116,7 +117,8 @@
     assertThat(waiting.isCompletedExceptionally()).isTrue();
   }
 
-  // An upstream turns a call away and asks for rest; the next call finds no other one.
+  // Guards against sending calls to an upstream during the backoff that it announced with a
+  // refusal, also when there is no other upstream.
   @Test
   void sendsNothingToUpstreamThatBacksOff() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/SplitAdmissionPolicyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/SplitAdmissionPolicyTest.java
@@ -18,7 +18,7 @@
     }
   }
 
-  // Long reviews fill an engine. An urgent call must find a slot without waiting for one to end.
+  // Guards against urgent calls that wait because long batch calls fill all slots of an upstream.
   @Test
   void keepsSlotsForUrgentCallsWhenBatchCallsFillTheRest() {
     // GIVEN
@@ -37,7 +37,8 @@
     assertThat(policy.admits(upstream, AdmissionClass.BATCH, 0)).isTrue();
   }
 
-  // Many old batch calls must not push out the urgent ones: they get one slot more, not all.
+  // Guards against aged batch calls that displace urgent calls: they get one more slot, not all
+  // slots.
   @Test
   void givesAgedBatchCallsOneSlotMoreAndNoMoreThanThat() {
     // GIVEN
