--- a/mothrill-core/src/main/java/io/mothrill/core/request/AnswerBuffer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/AnswerBuffer.java
@@ -3,7 +3,10 @@
 import java.io.ByteArrayOutputStream;
 import java.util.Optional;
 
-/** Collects an answer so that it can be kept; gives up when it grows too large. */
+/**
+ * Buffers an answer so that it can be stored. Stops buffering when the answer exceeds the size
+ * limit.
+ */
 final class AnswerBuffer {
 
   private final int maxBytes;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/AnswerDelivery.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/AnswerDelivery.java
@@ -2,9 +2,7 @@
 
 import java.util.Optional;
 
-/**
- * Brings an answer to its caller for as long as the caller is there, and keeps it for a repetition.
- */
+/** Delivers an answer to its caller while the caller is connected, and buffers it for retries. */
 final class AnswerDelivery {
 
   private final CallerStream caller;
@@ -38,14 +36,17 @@
     }
   }
 
-  /** Sends an answer that was kept from an earlier run. */
+  /** Sends an answer that was stored by an earlier run. */
   void replay(StoredAnswer stored) {
     caller.head(stored.status(), stored.contentType());
     caller.chunk(stored.body());
     caller.end();
   }
 
-  /** Ends without an answer: visibly broken off when a part of one has gone out already. */
+  /**
+   * Ends the request without an answer. The connection is aborted when a part of an answer has
+   * already been sent, so that the caller notices that it is incomplete.
+   */
   void refuse(Refusal refusal) {
     if (callerDisconnected) {
       return;
@@ -65,7 +66,7 @@
     return callerDisconnected;
   }
 
-  /** Says whether the caller has seen something of an answer. */
+  /** Checks whether a part of the answer has been sent to the caller. */
   boolean isStarted() {
     return started;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/request/AttemptListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/AttemptListener.java
@@ -6,7 +6,10 @@
 import io.mothrill.core.upstream.UpstreamListener;
 import io.mothrill.core.upstream.Usage;
 
-/** Hears of one attempt, and tells the exchange on the caller's executor while it counts. */
+/**
+ * Listens to one attempt and notifies the exchange on the caller's executor while the attempt is
+ * the current one.
+ */
 final class AttemptListener implements UpstreamListener {
 
   private final Exchange exchange;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Bill.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Bill.java
@@ -4,21 +4,21 @@
 import java.util.List;
 
 /**
- * What one run owes.
+ * The tokens that one run owes.
  *
- * @param requestId the run's id
+ * @param requestId the id of the run
  * @param key the request key
- * @param parts what is owed to each allotment
+ * @param parts the parts owed to each allotment
  */
 public record Bill(String requestId, RequestKey key, List<BillPart> parts) {
 
-  /** Takes a copy of the parts. */
+  /** Copies the parts. */
   public Bill {
     parts = List.copyOf(parts);
   }
 
   /**
-   * Adds up the parts.
+   * Returns the sum of the parts.
    *
    * @return tokens
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/request/CallPlan.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/CallPlan.java
@@ -7,19 +7,19 @@
 import java.nio.ByteBuffer;
 
 /**
- * A request together with what the configuration says about it.
+ * A request together with the configuration that applies to it.
  *
  * @param request the request
  * @param service the service
- * @param budget the budget that it draws on
+ * @param budget the budget from which its tokens are reserved
  * @param key the request key
- * @param keyed true when the caller chose the key, so that a retry may come at any instance
- * @param requestId the run's id
+ * @param keyed true when the caller supplied the key, so that a retry may arrive at any instance
+ * @param requestId the id of the run
  * @param priority the class
  * @param repeatable whether it may run again after an unknown outcome
- * @param maxOutputTokens the output cap
- * @param reserveTokens the most that it can use
- * @param deadlineMs the time on the timer service at which it is given up
+ * @param maxOutputTokens the limit of output tokens
+ * @param reserveTokens the maximum number of tokens that it can use
+ * @param deadlineMs the deadline of the request on the timer service, in milliseconds
  */
 public record CallPlan(
     CallRequest request,
@@ -35,8 +35,8 @@
     long deadlineMs) {
 
   /**
-   * Names the request by what upstreams see of it, so that its repeats are known wherever they
-   * come.
+   * Returns the fingerprint of the request as upstreams receive it. It identifies repeats of the
+   * request at any instance.
    *
    * @return the fingerprint
    */
@@ -50,11 +50,11 @@
   }
 
   /**
-   * Says what a whole answer costs.
+   * Returns the cost of a complete answer.
    *
    * @param status the HTTP status
-   * @param usageTokens what the upstream reported
-   * @return tokens, at most what was reserved
+   * @param usageTokens the usage reported by the upstream
+   * @return tokens, at most the reserved ones
    */
   public long cost(int status, long usageTokens) {
     if (service.type() == ServiceType.MODEL) {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/CallPlanner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/CallPlanner.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Finds out who asks, for what, and what it may cost. */
+/**
+ * Authenticates a request, resolves its service and budget, and calculates the tokens to reserve.
+ */
 public final class CallPlanner {
 
   private final PublishedValue<ConfigSnapshot> config;
@@ -21,10 +23,10 @@
   /**
    * Creates the planner.
    *
-   * @param config the configuration in force
-   * @param timers the time
-   * @param incarnation this incarnation, which minted keys name
-   * @param ids gives ids that no other call of any instance gives
+   * @param config the current configuration
+   * @param timers the clock and timer service
+   * @param incarnation this incarnation, which is part of generated keys
+   * @param ids supplies ids that are unique across all instances
    */
   public CallPlanner(
       PublishedValue<ConfigSnapshot> config,
@@ -38,7 +40,7 @@
   }
 
   /**
-   * Plans a request.
+   * Creates the plan of a request.
    *
    * @param request the request
    * @return the plan
@@ -74,10 +76,10 @@
   }
 
   /**
-   * Finds the team that a key belongs to.
+   * Returns the team to which an API key belongs.
    *
    * @param snapshot the configuration
-   * @param bearer the key, as {@code team.secret}
+   * @param bearer the API key, as {@code team.secret}
    * @return the team's name
    * @throws RefusedException when the key is not valid
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/request/CallRequest.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/CallRequest.java
@@ -7,25 +7,27 @@
 import java.util.OptionalLong;
 
 /**
- * A request as a caller sent it.
+ * A request as received from a caller.
  *
- * @param bearer the team's key, as {@code team.secret}; empty when there was none
- * @param type whether a model or a plain service was asked for
+ * @param bearer the team's API key, as {@code team.secret}; empty when there was none
+ * @param type whether a model or a plain service is requested
  * @param service the model's or service's name
- * @param idempotencyKey the caller's key, when it sent one
- * @param priority the class, when the caller named one
- * @param unrepeatable true when the caller said that it may not run twice
- * @param budget the budget, when the caller named one
- * @param maxPromptTokens the most tokens that the prompt can come to
- * @param maxOutputTokens the output cap, when the caller named one
- * @param streamed whether the answer is to be streamed
- * @param affinity the start of the prompt, for prefix caches; may be empty
- * @param fingerprint hash of the request, so that a key is not used for two
+ * @param idempotencyKey the idempotency key, when the caller sent one
+ * @param priority the class, when the caller specified one
+ * @param unrepeatable true when the caller marked the request as not repeatable
+ * @param budget the budget, when the caller specified one
+ * @param maxPromptTokens the maximum number of tokens of the prompt
+ * @param maxOutputTokens the limit of output tokens, when the caller specified one
+ * @param streamed whether the answer is streamed
+ * @param affinity the start of the prompt, which selects an upstream with a matching prefix cache;
+ *     may be empty
+ * @param fingerprint a hash of the request, to detect a key that is reused for another request
  * @param method the HTTP method for the upstream
  * @param path the path for the upstream
  * @param contentType the media type of the body
  * @param body the body
- * @param truncationEnding what ends a streamed answer that is cut at its cap; not to be changed
+ * @param truncationEnding the bytes that end a streamed answer truncated at its limit; must not be
+ *     modified
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record CallRequest(
--- a/mothrill-core/src/main/java/io/mothrill/core/request/CallerStream.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/CallerStream.java
@@ -2,19 +2,19 @@
 
 import java.util.concurrent.Executor;
 
-/** The way back to the caller. */
+/** The stream on which a request is answered to its caller. */
 public interface CallerStream extends Executor {
 
   /**
-   * Tells under which ids the request goes on; called once, before anything else.
+   * Sets the ids of the request. Called once, before any other method.
    *
-   * @param requestId the run's id
-   * @param key the key under which the caller may ask again
+   * @param requestId the id of the run
+   * @param key the key with which the caller may retry
    */
   void identify(String requestId, String key);
 
   /**
-   * Begins the answer.
+   * Starts the answer.
    *
    * @param status the HTTP status
    * @param contentType the media type of the body
@@ -22,22 +22,22 @@
   void head(int status, String contentType);
 
   /**
-   * Sends a part of the answer.
+   * Sends a chunk of the answer.
    *
-   * @param bytes the part; not to be changed
+   * @param bytes the chunk; must not be modified
    */
   void chunk(byte[] bytes);
 
-  /** Ends the answer: the caller has it whole. */
+  /** Ends the answer, which is then complete. */
   void end();
 
-  /** Breaks the answer off so that the caller sees that it is not whole. */
+  /** Aborts the answer so that the caller notices that it is incomplete. */
   void abort();
 
   /**
-   * Answers a request that is not served; only before {@link #head}.
+   * Answers the request with a refusal. Must be called before {@link #head}.
    *
-   * @param refusal what to say
+   * @param refusal the refusal
    */
   void refuse(Refusal refusal);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
@@ -24,9 +24,9 @@
 import org.tinylog.Logger;
 
 /**
- * One request on its way: planned, claimed, paid for, sent, answered and billed.
+ * The processing of one request: planning, claim, reservation, routing, answer and billing.
  *
- * <p>All of its steps run on the caller's executor, one after the other, so it needs no lock.
+ * <p>All steps run sequentially on the caller's executor, so no lock is needed.
  */
 public final class Exchange {
 
@@ -84,7 +84,10 @@
     }
   }
 
-  /** Goes on unless upstreams have ended under the request, once that is known. */
+  /**
+   * Continues with the next step once it is known that the request is not suspected of crashing
+   * upstreams; otherwise refuses the request.
+   */
   private void unlessSuspectedOfCrashes(Runnable next) {
     suspicion.decide(
         caller, () -> ifActive(next), record -> ifActive(() -> refuseForCrashes(record)));
@@ -98,11 +101,14 @@
 
   private void refuseForCrashes(CrashRecord record) {
     long nowMs = context.timers().nowMs();
-    Logger.info("not sent request={} crashes={}", plan.requestId(), record.describe(nowMs));
+    Logger.info("request not sent because upstreams crashed under it: request={} crashes={}", plan.requestId(), record.describe(nowMs));
     fail(Refusal.crashesUpstreams(record.retryAfterMs(nowMs)));
   }
 
-  /** Continues with a result on the caller's executor, unless the exchange is over by then. */
+  /**
+   * Continues with a result on the caller's executor. When the exchange has finished meanwhile, the
+   * result is released instead.
+   */
   private <T> void then(CompletableFuture<T> future, Consumer<T> next) {
     var unused =
         future.whenComplete(
@@ -173,7 +179,10 @@
         });
   }
 
-  /** The claim comes last, so that a request which is refused before this leaves no claim. */
+  /**
+   * Claims an unrepeatable request as the last step before sending, so that a request refused
+   * earlier leaves no claim.
+   */
   private void claimBeforeSending() {
     if (plan.repeatable() || !plan.keyed() || attempts > 0) {
       send();
@@ -186,7 +195,7 @@
     switch (outcome) {
       case GRANTED -> send();
       case TAKEN -> {
-        // This run did not run; the caller is told of the run that holds the claim.
+        // This run did not run. The caller is answered for the run that holds the claim.
         endRecord(Refusal.claimUnavailable());
         failWithoutRecord(Refusal.outcomeUnknown());
       }
@@ -215,7 +224,7 @@
             .send(call, new AttemptListener(this, caller, attempts, assignment.upstream()));
   }
 
-  /** Says whether an attempt is the one that counts; what others still say is dropped. */
+  /** Checks whether an attempt is the current one. Events of other attempts are dropped. */
   boolean isCurrent(int attempt) {
     return !finished && attempt == attempts;
   }
@@ -234,10 +243,13 @@
     answer.chunk(bytes);
   }
 
-  /** Ends an answer that is longer than its cap: no more was reserved for it. */
+  /**
+   * Ends an answer that exceeds its limit of output tokens, because no more tokens were reserved
+   * for it.
+   */
   private void truncate() {
     upstream.cancel();
-    Logger.warn("request={} exceeded its output cap and was cut", plan.requestId());
+    Logger.warn("answer truncated at its output token limit: request={}", plan.requestId());
     answer.chunk(request.truncationEnding());
     end();
   }
@@ -251,7 +263,10 @@
     finish(owedTokens, whole, answer::end);
   }
 
-  /** Settles, copies the bill to another instance, and only then lets the caller see the end. */
+  /**
+   * Settles the reservation and copies the bill to another instance before the end of the answer is
+   * sent to the caller.
+   */
   private void finish(long usedTokens, Optional<StoredAnswer> whole, Runnable last) {
     finished = true;
     releaseSlot();
@@ -287,7 +302,7 @@
     }
     failedUpstreams.add(assignment.upstream().name());
     Logger.info(
-        "attempt failed request={} upstream={} kind={} detail={}",
+        "attempt failed: request={} upstream={} kind={} detail={}",
         plan.requestId(),
         assignment.upstream().name(),
         failure.kind(),
@@ -302,8 +317,9 @@
   }
 
   /**
-   * A call that surely did not run may be sent again; one that may have run only when it is
-   * repeatable and the caller has seen nothing of its answer.
+   * Checks whether the call may be retried. A call that certainly did not run may be sent again. A
+   * call that may have run is sent again only when it is repeatable and no part of its answer has
+   * been sent to the caller.
    */
   private boolean canRetry(UpstreamFailure failure) {
     boolean safeToRetry = failure.isNotRun() || plan.repeatable();
@@ -321,10 +337,10 @@
   }
 
   /**
-   * The caller went away.
+   * Called when the caller has disconnected.
    *
-   * <p>A request with a key of the caller's own goes on, because the caller will ask for its answer
-   * again. Any other is given up, and owes what it has used.
+   * <p>A request with an idempotency key of the caller continues, because the caller will retry to
+   * get its answer. Any other request is abandoned and owes the tokens that it has used.
    */
   public void onCallerDisconnected() {
     caller.execute(
@@ -350,7 +366,8 @@
   }
 
   /**
-   * The caller reads more slowly than the answer comes, or keeps up again.
+   * Called when the caller's connection becomes writable or stops being writable, because the
+   * caller reads more slowly than the answer arrives.
    *
    * @param writable whether more may be sent
    */
@@ -364,11 +381,11 @@
   }
 
   /**
-   * Ends a request that was claimed or paid for without an answer.
+   * Ends a request without an answer after it was claimed or tokens were reserved for it.
    *
-   * <p>Failure: one attempt broke off, and the next finds no upstream. Symptom: the caller is told
-   * that the request did not run, although the first attempt did. What any attempt may have done
-   * counts.
+   * <p>When one attempt broke off and the next finds no upstream, the caller must not be told that
+   * the request did not run, because the first attempt may have run. The refusal therefore covers
+   * all attempts.
    */
   void fail(Refusal reason) {
     Refusal refusal = mayHaveRun ? reason.asPossiblyRun() : reason;
@@ -399,7 +416,7 @@
 
   void refuse(Refusal refusal) {
     Logger.info(
-        "refused request={} status={} code={} notRun={}",
+        "request refused: request={} status={} code={} notRun={}",
         plan == null ? "" : plan.requestId(),
         refusal.status(),
         refusal.code(),
--- a/mothrill-core/src/main/java/io/mothrill/core/request/ExchangeContext.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/ExchangeContext.java
@@ -8,20 +8,20 @@
 import io.mothrill.core.upstream.UpstreamClient;
 
 /**
- * What a request needs on its way.
+ * The collaborators that an exchange uses.
  *
- * @param planner finds out who asks and for what
+ * @param planner creates the plan of a request
  * @param records keeps one record per request key
- * @param answers lets retries wait for answers
+ * @param answers lets retries wait for the answer of a run in flight
  * @param unrepeatable claims requests that may run only once
  * @param budgets reserves tokens
- * @param router gives slots at upstreams
- * @param client sends calls
- * @param crashes keeps requests that end upstreams away from them
+ * @param router assigns slots at upstreams
+ * @param client sends calls to upstreams
+ * @param crashes quarantines requests that crash upstreams
  * @param retryBudget limits retries
- * @param timers the time
- * @param metrics counts what happens
- * @param settings how requests are run
+ * @param timers the clock and timer service
+ * @param metrics the metric registry
+ * @param settings the request settings
  */
 public record ExchangeContext(
     CallPlanner planner,
--- a/mothrill-core/src/main/java/io/mothrill/core/request/GeneratedKey.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/GeneratedKey.java
@@ -3,11 +3,12 @@
 import java.util.Optional;
 
 /**
- * A request key that an instance made for a caller that sent none.
+ * A request key that an instance generated because the caller sent none.
  *
- * <p>It names the incarnation that made it. Nobody else knew the key before the request was under
- * way, so that incarnation alone decides about it: it needs neither the platform nor a backup, and
- * goes on serving unrepeatable requests when it is cut off from everyone.
+ * <p>The key contains the incarnation that generated it. No other instance knew the key before the
+ * request was in flight, so that incarnation alone decides about it. It needs neither the platform
+ * nor a backup for that, and continues to serve unrepeatable requests when it is partitioned from
+ * all others.
  */
 public final class GeneratedKey {
 
@@ -16,10 +17,10 @@
   private GeneratedKey() {}
 
   /**
-   * Makes a key.
+   * Generates a key.
    *
-   * @param incarnation the incarnation that makes it
-   * @param requestId the run's id
+   * @param incarnation the incarnation that generates it
+   * @param requestId the id of the run
    * @return the key
    */
   public static String of(String incarnation, String requestId) {
@@ -27,10 +28,10 @@
   }
 
   /**
-   * Finds out who made a key.
+   * Returns the incarnation that generated a key.
    *
    * @param key the key
-   * @return the incarnation, or empty when it is a caller's own key
+   * @return the incarnation, or empty when the caller supplied the key
    */
   public static Optional<String> issuerOf(RequestKey key) {
     int end = key.key().indexOf(MARK, 1);
--- a/mothrill-core/src/main/java/io/mothrill/core/request/KeyedStart.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/KeyedStart.java
@@ -4,7 +4,10 @@
 import io.mothrill.core.peer.PeerMessage.ClaimReply.Verdict;
 import java.util.Optional;
 
-/** The start of a request whose caller chose its key: run it, wait for another run, or replay. */
+/**
+ * Starts a request with an idempotency key of the caller: runs it, waits for another run in flight,
+ * or replays a stored answer.
+ */
 final class KeyedStart {
 
   private static final int MAX_CLAIMS = 6;
@@ -54,8 +57,8 @@
   }
 
   /**
-   * The run that was waited for may have failed, or its instance; then the claim is asked anew,
-   * after the time that it takes to notice that an instance is gone.
+   * Replays the answer of the run that was joined. When that run or its instance failed, the claim
+   * is retried after the time that it takes to detect an instance failure.
    */
   private void onJoined(Optional<StoredAnswer> found) {
     if (exchange.isFinished()) {
@@ -76,7 +79,7 @@
     }
   }
 
-  /** A run that was granted after its request was given up ends at once. */
+  /** Ends a run at once when it was granted after its request had been abandoned. */
   private void abandon(ClaimReply reply) {
     if (reply.verdict() == Verdict.RUN) {
       var unused = context.records().finish(plan, RunOutcome.failed(true));
--- a/mothrill-core/src/main/java/io/mothrill/core/request/NotRun.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/NotRun.java
@@ -1,8 +1,8 @@
 package io.mothrill.core.request;
 
-/** What a refusal says about whether the request ran. */
+/** States in a refusal whether the request ran. */
 public enum NotRun {
-  /** It surely did not run. */
+  /** It certainly did not run. */
   TRUE,
   /** It ran. */
   FALSE,
--- a/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The answers of runs that are under way, for retries that wait for them here or elsewhere. */
+/** The answers of runs in flight, for retries that wait for them at this instance or another. */
 public final class PendingAnswers {
 
   private static final long ANSWER_WAIT_MS = 1_000;
@@ -25,12 +25,12 @@
   private final Map<RequestKey, Running> running = new ConcurrentHashMap<>();
 
   /**
-   * Creates the answers.
+   * Creates an instance without any run.
    *
-   * @param members the fleet
-   * @param links the way to peers
-   * @param dispatcher where requests from peers are served
-   * @param timers the time
+   * @param members the current membership
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of peer requests are registered
+   * @param timers the clock and timer service
    */
   public PendingAnswers(
       PublishedValue<Membership> members,
@@ -46,22 +46,22 @@
   private record Running(String requestId, CompletableFuture<Optional<StoredAnswer>> answer) {}
 
   /**
-   * Notes a run.
+   * Records that a run has started.
    *
    * @param key the request key
-   * @param requestId the run's id
-   * @return false when another run of the key is under way here
+   * @param requestId the id of the run
+   * @return false when another run of the key is in flight at this instance
    */
   boolean begin(RequestKey key, String requestId) {
     return running.putIfAbsent(key, new Running(requestId, new CompletableFuture<>())) == null;
   }
 
   /**
-   * Gives the answer of a run to those who wait for it.
+   * Completes a run, so that those who wait for its answer get it.
    *
    * @param key the request key
-   * @param requestId the run's id
-   * @param answer the answer; empty when the run failed or does not run here
+   * @param requestId the id of the run
+   * @param answer the answer; empty when the run failed or does not run at this instance
    */
   void end(RequestKey key, String requestId, Optional<StoredAnswer> answer) {
     Running run = running.get(key);
@@ -71,13 +71,13 @@
   }
 
   /**
-   * Waits for the answer of a request that an instance runs.
+   * Waits for the answer of a request that runs at an instance.
    *
-   * <p>The runner is asked again and again, so that one that is gone is noticed soon.
+   * <p>The runner is polled, so that its failure is detected soon.
    *
    * @param key the request key
    * @param runner the incarnation that runs it
-   * @return the answer; empty when the run failed; fails when the runner does not answer
+   * @return the answer; empty when the run failed; fails when the runner does not respond
    */
   public CompletableFuture<Optional<StoredAnswer>> join(RequestKey key, String runner) {
     Membership view = members.read();
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Refusal.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Refusal.java
@@ -6,13 +6,13 @@
 import io.mothrill.core.upstream.UpstreamFailure;
 
 /**
- * The answer to a request that is not served.
+ * The answer to a request that is refused.
  *
  * @param status the HTTP status
- * @param code the code that callers may rely on
- * @param message what was wrong, for people
+ * @param code the error code, which is stable for callers
+ * @param message a readable description of the reason
  * @param notRun whether the request ran
- * @param retryAfterMs when to try again; 0 when trying again does not help
+ * @param retryAfterMs the time after which the caller should retry; 0 when a retry does not help
  */
 public record Refusal(int status, String code, String message, NotRun notRun, long retryAfterMs) {
 
@@ -31,7 +31,7 @@
   private static final int GATEWAY_TIMEOUT = 504;
 
   /**
-   * The key is not one of the team's.
+   * Returns the refusal for a missing or invalid API key.
    *
    * @return the refusal
    */
@@ -40,9 +40,9 @@
   }
 
   /**
-   * A field of the request is wrong.
+   * Returns the refusal for a request with an invalid field.
    *
-   * @param message names the field and the reason
+   * @param message the field and the reason
    * @return the refusal
    */
   public static Refusal badRequest(String message) {
@@ -50,9 +50,9 @@
   }
 
   /**
-   * There is nothing at an address.
+   * Returns the refusal for an unknown path.
    *
-   * @param path the path asked for
+   * @param path the requested path
    * @return the refusal
    */
   public static Refusal unknownPath(String path) {
@@ -60,7 +60,7 @@
   }
 
   /**
-   * The method does not fit the address.
+   * Returns the refusal for a method that the path does not support.
    *
    * @param method the method
    * @return the refusal
@@ -70,7 +70,7 @@
   }
 
   /**
-   * The request took too long to arrive.
+   * Returns the refusal for a request that took too long to arrive.
    *
    * @return the refusal
    */
@@ -79,9 +79,9 @@
   }
 
   /**
-   * The request's body is too large.
+   * Returns the refusal for a request whose body is too large.
    *
-   * @param maxBytes the largest body that is taken
+   * @param maxBytes the maximum size of a body
    * @return the refusal
    */
   public static Refusal tooLarge(int maxBytes) {
@@ -90,9 +90,9 @@
   }
 
   /**
-   * There is no such model or service.
+   * Returns the refusal for an unknown model or service.
    *
-   * @param service the name asked for
+   * @param service the requested name
    * @return the refusal
    */
   public static Refusal unknownService(String service) {
@@ -100,7 +100,7 @@
   }
 
   /**
-   * The team has no budget for the service.
+   * Returns the refusal for a team that has no budget for the service.
    *
    * @param service the service's name
    * @return the refusal
@@ -110,7 +110,7 @@
   }
 
   /**
-   * The idempotency key was used for another request.
+   * Returns the refusal for an idempotency key that was used for another request.
    *
    * @return the refusal
    */
@@ -123,7 +123,7 @@
   }
 
   /**
-   * The request runs at an instance that cannot be reached.
+   * Returns the refusal for a request that is running at an unreachable instance.
    *
    * @return the refusal
    */
@@ -137,7 +137,7 @@
   }
 
   /**
-   * The request ran before and its answer is no longer kept.
+   * Returns the refusal for a request that ran before and whose answer is no longer stored.
    *
    * @return the refusal
    */
@@ -151,7 +151,7 @@
   }
 
   /**
-   * An unrepeatable request may have run and must not run again.
+   * Returns the refusal for an unrepeatable request that may have run and must not run again.
    *
    * @return the refusal
    */
@@ -165,7 +165,7 @@
   }
 
   /**
-   * An unrepeatable request cannot be claimed safely for now.
+   * Returns the refusal for an unrepeatable request that cannot be claimed safely now.
    *
    * @return the refusal
    */
@@ -178,9 +178,9 @@
   }
 
   /**
-   * No upstream gave a whole answer.
+   * Returns the refusal for a call for which no upstream gave a complete answer.
    *
-   * @param detail what happened last
+   * @param detail the last failure
    * @return the refusal
    */
   public static Refusal upstreamFailed(String detail) {
@@ -188,9 +188,9 @@
   }
 
   /**
-   * No upstream took the call.
+   * Returns the refusal for a call that no upstream accepted.
    *
-   * @param detail what happened last
+   * @param detail the last failure
    * @return the refusal
    */
   public static Refusal upstreamRefused(String detail) {
@@ -198,9 +198,10 @@
   }
 
   /**
-   * Upstreams have ended under requests that are the same.
+   * Returns the refusal for a request that is quarantined because upstreams crashed under the same
+   * request.
    *
-   * @param retryAfterMs when it may be tried again
+   * @param retryAfterMs the time after which it may be retried
    * @return the refusal
    */
   public static Refusal crashesUpstreams(long retryAfterMs) {
@@ -212,7 +213,7 @@
   }
 
   /**
-   * The request took longer than it may.
+   * Returns the refusal for a request that exceeded its deadline.
    *
    * @param notRun whether it ran
    * @return the refusal
@@ -223,7 +224,7 @@
   }
 
   /**
-   * The instance is draining.
+   * Returns the refusal for an instance that is draining.
    *
    * @return the refusal
    */
@@ -232,7 +233,7 @@
   }
 
   /**
-   * The instance has no configuration yet.
+   * Returns the refusal for an instance that has no configuration yet.
    *
    * @return the refusal
    */
@@ -241,10 +242,10 @@
   }
 
   /**
-   * Turns the failure of the last attempt into a refusal.
+   * Returns the refusal for the failure of the last attempt.
    *
    * @param failure the failure
-   * @param repeatable whether the request may be sent again by its caller without harm
+   * @param repeatable whether the caller may safely send the request again
    * @return the refusal
    */
   public static Refusal of(UpstreamFailure failure, boolean repeatable) {
@@ -255,7 +256,7 @@
   }
 
   /**
-   * Turns an error of a layer below into a refusal.
+   * Returns the refusal for an error of a lower layer.
    *
    * @param error the error
    * @return the refusal; the request did not run
@@ -274,9 +275,9 @@
   }
 
   /**
-   * Says of a refusal that an earlier attempt may have run.
+   * Returns a copy for a request of which an earlier attempt may have run.
    *
-   * @return a copy that does not claim otherwise
+   * @return a copy that does not state that the request did not run
    */
   public Refusal asPossiblyRun() {
     NotRun known = notRun == NotRun.TRUE ? NotRun.UNKNOWN : notRun;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestKey.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestKey.java
@@ -1,10 +1,10 @@
 package io.mothrill.core.request;
 
 /**
- * What a caller's retry has in common with its first try.
+ * Identifies a request across its retries.
  *
  * @param team the caller's team
- * @param key the caller's idempotency key, or one that was minted
+ * @param key the caller's idempotency key, or a generated one
  */
 public record RequestKey(String team, String key) {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
@@ -34,9 +34,9 @@
 /**
  * The runs of this instance, from their claim to their bill.
  *
- * <p>A run's bill is posted only after the owner of its key's range has confirmed that the run
- * counts. An owner that cannot be reached is asked again until it, or its successor, answers, so a
- * run during a partition is billed, or dropped, when the partition ends.
+ * <p>The bill of a run is posted only after the owner of its key's range has confirmed that the run
+ * counts. An unreachable owner is asked again until it or its successor responds, so a run during a
+ * partition is billed or dropped when the partition ends.
  */
 public final class RequestRecords {
 
@@ -57,16 +57,16 @@
   private final Map<String, EndedRun> copiesForPeers = new ConcurrentHashMap<>();
 
   /**
-   * Creates the records and starts their timers.
+   * Creates the records and starts the periodic work.
    *
-   * @param ranges decides about keys
-   * @param answers lets others wait for the answers of runs here
-   * @param members the fleet
-   * @param links the way to peers
-   * @param dispatcher where requests from peers are served
-   * @param bills where confirmed bills go
-   * @param timers the time
-   * @param decisionMs how long it is remembered which run of a key counts
+   * @param ranges decides which run of a key counts
+   * @param answers lets other instances wait for the answers of runs of this instance
+   * @param members the current membership
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of peer requests are registered
+   * @param bills receives confirmed bills
+   * @param timers the clock and timer service
+   * @param decisionMs the retention of the decision which run of a key counts
    */
   public RequestRecords(
       RangeCoordinator ranges,
@@ -89,7 +89,7 @@
     timers.every(TICK_MS, this::tick);
   }
 
-  /** A run that has ended, until it is known whether it counts. */
+  /** A run that has ended and of which it is not yet decided whether it counts. */
   private record EndedRun(
       FinishRequest finish,
       RunOutcome outcome,
@@ -103,7 +103,7 @@
   }
 
   /**
-   * Notes a run under a key that was minted for it; it may run without asking anyone.
+   * Records a run under a generated key. It may run without asking an owner.
    *
    * @param plan the request
    */
@@ -122,14 +122,14 @@
   }
 
   /**
-   * Asks whether a request may run.
+   * Requests permission to run a request.
    *
-   * <p>The run is noted here before the owner decides: another instance that is told to wait for it
-   * may ask for its answer before the owner's reply has come back. When no owner can be reached the
-   * request runs, and whether it is billed is decided later.
+   * <p>The run is recorded here before the owner decides, because another instance that is told to
+   * wait for it may request its answer before the reply of the owner arrives here. When no owner
+   * can be reached, the request runs, and it is decided later whether it is billed.
    *
    * @param plan the request
-   * @return what to do; never fails
+   * @return the verdict; never fails
    */
   public CompletableFuture<ClaimReply> claim(CallPlan plan) {
     ClaimRequest claim = claimOf(plan);
@@ -144,7 +144,10 @@
             });
   }
 
-  /** Waits a little for a range that is changing hands, before running without its owner. */
+  /**
+   * Retries for a short time while a range changes its owner, before the request runs without the
+   * owner.
+   */
   private CompletableFuture<Optional<ClaimReply>> askOwner(ClaimRequest claim, int attempt) {
     return ranges
         .claimRun(claim)
@@ -169,7 +172,7 @@
    * Reports the end of a run.
    *
    * @param plan the request
-   * @param outcome what came of it
+   * @param outcome the outcome of the run
    * @return completes when another instance has a copy of the bill
    */
   public CompletableFuture<Void> finish(CallPlan plan, RunOutcome outcome) {
@@ -189,7 +192,10 @@
     return ended.copied();
   }
 
-  /** A run under a minted key counts in any case; its bill is copied before it is posted. */
+  /**
+   * Confirms a run under a generated key. It always counts, and its bill is copied before it is
+   * posted.
+   */
   private void confirmGenerated(EndedRun ended) {
     ranges.endGenerated(ended.finish());
     var unused = ended.copied().thenAccept(nothing -> settle(ended, true));
@@ -211,7 +217,7 @@
       return;
     }
     if (timers.nowMs() - ended.atMs() > decisionMs / 2) {
-      Logger.error("request={} could not be decided and is not billed", ended.finish().requestId());
+      Logger.error("run not billed because its key range could not confirm it in time: request={}", ended.finish().requestId());
       settle(ended, false);
       return;
     }
@@ -243,10 +249,11 @@
   }
 
   /**
-   * Gives another instance a copy of a bill that cannot be decided about yet.
+   * Sends a copy of a bill that cannot be decided yet to another instance.
    *
-   * <p>Failure: the runner dies before the owner can be asked. Symptom: an answer that a caller has
-   * is never billed. Whoever has the copy asks in the runner's place once that is gone.
+   * <p>If the runner crashed before the owner could be asked, an answer that the caller received
+   * would never be billed. The instance with the copy asks the owner in place of the runner once
+   * the runner has left the fleet.
    */
   private void replicateBill(EndedRun ended) {
     if (ended.copied().isDone() || ended.finish().bill().isEmpty()) {
@@ -277,7 +284,7 @@
     return CompletableFuture.completedFuture(new PeerMessage.Done());
   }
 
-  /** Posts a bill and notes it, so that the owner of the key can be told. */
+  /** Posts a bill and records it, so that the owner of the key can be notified. */
   private void post(
       EndedRun ended, BiFunction<AllotmentId, LedgerEntry, CompletableFuture<Void>> ledger) {
     Bill bill = ended.finish().bill().orElseThrow();
@@ -307,7 +314,10 @@
     post(new EndedRun(finish, RunOutcome.failed(false), timers.nowMs()), bills::recover);
   }
 
-  /** Tells the owners of keys, and whoever keeps copies, which bills are in the ledger. */
+  /**
+   * Notifies the owners of keys and the holders of copies of the bills that have been written to
+   * the ledger.
+   */
   private void notifyPosted() {
     List<EndedRun> billed = new ArrayList<>();
     for (EndedRun ended = posted.poll(); ended != null; ended = posted.poll()) {
@@ -340,9 +350,9 @@
   }
 
   /**
-   * Counts runs of which it is not decided yet whether they count.
+   * Returns the number of runs of which it is not yet decided whether they count.
    *
-   * @return runs whose bills wait
+   * @return the number of runs whose bills wait
    */
   public int unconfirmedCount() {
     return unconfirmed.size();
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestService.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestService.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Runs requests, and knows which of them are still under way. */
+/** Runs requests and tracks those in flight. */
 public final class RequestService {
 
   private final ExchangeContext context;
@@ -15,8 +15,8 @@
   /**
    * Creates the service.
    *
-   * @param context what requests need
-   * @param drain whether new requests are still taken
+   * @param context the collaborators of an exchange
+   * @param drain the drain stage, which determines whether new requests are accepted
    */
   public RequestService(ExchangeContext context, PublishedValue<DrainStage> drain) {
     this.context = context;
@@ -27,8 +27,8 @@
    * Runs a request.
    *
    * @param request the request
-   * @param caller the way back
-   * @return the request under way
+   * @param caller the stream on which the request is answered
+   * @return the exchange, in flight or refused
    */
   public Exchange run(CallRequest request, CallerStream caller) {
     Exchange exchange = new Exchange(context, request, caller, inFlight::remove);
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Counts the requests under way.
+   * Returns the number of requests in flight.
    *
-   * @return requests whose callers do not have the whole answer yet
+   * @return the number of requests whose callers have not received the complete answer yet
    */
   public int inFlightCount() {
     return inFlight.size();
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestSettings.java
@@ -1,17 +1,17 @@
 package io.mothrill.core.request;
 
 /**
- * How requests are run.
+ * Settings of the processing of requests.
  *
- * @param maxAttempts how often a request is sent in all
- * @param retryRatio retries per first try
- * @param stallMs how long an upstream may be silent
- * @param avoidMs how long an upstream that failed is avoided
- * @param finishWaitMs how long the end of an answer waits for its bill to be copied
- * @param keptAnswerBytes the largest answer that is kept for retries
- * @param recordWindowMs how long an answer is kept for retries
- * @param claimWindowMs how long it is remembered that a key has run; a retry that comes later runs
- *     again
+ * @param maxAttempts the maximum number of attempts of a request
+ * @param retryRatio the number of retries allowed per first attempt
+ * @param stallMs the longest time for which an upstream may send nothing
+ * @param avoidMs the time for which an upstream that failed is avoided
+ * @param finishWaitMs the longest time for which the end of an answer is delayed until its bill is
+ *     copied
+ * @param keptAnswerBytes the size of the largest answer that is stored for retries
+ * @param recordWindowMs the retention of an answer for retries
+ * @param claimWindowMs the retention of the fact that a key has run; a later retry runs again
  */
 public record RequestSettings(
     int maxAttempts,
@@ -24,9 +24,10 @@
     long claimWindowMs) {
 
   /**
-   * Gives the settings that suit both deployments.
+   * Returns the default settings for both deployments.
    *
-   * @return three attempts, ten per cent of retries, keys remembered for ten minutes
+   * @return three attempts, ten per cent of retries, answers stored for ten minutes, keys
+   *     remembered for two hours
    */
   public static RequestSettings standard() {
     return new RequestSettings(3, 0.1, 10_000, 2_000, 500, 256 * 1024, 600_000, 7_200_000);
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RetryBudget.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RetryBudget.java
@@ -1,8 +1,8 @@
 package io.mothrill.core.request;
 
 /**
- * Lets through a fixed share of retries, so that a failing upstream is not hit by more and more
- * calls.
+ * Limits retries to a fixed ratio of first attempts, so that a failing upstream does not receive a
+ * growing number of calls.
  */
 public final class RetryBudget {
 
@@ -14,21 +14,21 @@
   /**
    * Creates the budget.
    *
-   * @param ratio retries per first try, for example 0.1
+   * @param ratio the number of retries per first attempt, for example 0.1
    */
   public RetryBudget(double ratio) {
     this.ratio = ratio;
   }
 
-  /** Counts a first try. */
+  /** Records a first attempt. */
   public synchronized void onFirstAttempt() {
     available = Math.min(MAX_AVAILABLE, available + ratio);
   }
 
   /**
-   * Asks for a retry.
+   * Acquires a retry.
    *
-   * @return true when one may be made
+   * @return true when a retry is allowed
    */
   public synchronized boolean tryRetry() {
     if (available < 1) {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RunOutcome.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RunOutcome.java
@@ -3,20 +3,20 @@
 import java.util.Optional;
 
 /**
- * What came of a run.
+ * The outcome of a run.
  *
- * @param notRun true when the request surely did not run
- * @param bill what it owes; empty when it failed
- * @param answer its answer, when there is one to keep
- * @param cancelBill puts the owed tokens back when the run turns out not to count
+ * @param notRun true when the request certainly did not run
+ * @param bill the bill of the run; empty when it failed
+ * @param answer the answer, when it is stored
+ * @param cancelBill returns the owed tokens to their pools when the run does not count
  */
 public record RunOutcome(
     boolean notRun, Optional<Bill> bill, Optional<StoredAnswer> answer, Runnable cancelBill) {
 
   /**
-   * Describes a run that failed.
+   * Returns the outcome of a run that failed.
    *
-   * @param notRun true when the request surely did not run
+   * @param notRun true when the request certainly did not run
    * @return an outcome that owes nothing
    */
   public static RunOutcome failed(boolean notRun) {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/StoredAnswer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/StoredAnswer.java
@@ -1,11 +1,11 @@
 package io.mothrill.core.request;
 
 /**
- * A whole answer, kept for callers that ask again.
+ * A complete answer that is stored for retries.
  *
  * @param status the HTTP status
  * @param contentType the media type of the body
- * @param body the body; not to be changed
+ * @param body the body; must not be modified
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record StoredAnswer(int status, String contentType, byte[] body) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/request/UnrepeatableClaims.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/UnrepeatableClaims.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Makes sure that a request which may not be repeated is sent at most once. */
+/** Ensures that an unrepeatable request is sent at most once. */
 public interface UnrepeatableClaims {
 
-  /** How a claim was answered. */
+  /** The outcome of a claim. */
   enum Outcome {
-    /** This run alone may send the request. */
+    /** Only this run may send the request. */
     GRANTED,
     /** The key was claimed before; the request may have run. */
     TAKEN,
@@ -19,16 +19,16 @@
    * Claims a request before it is sent.
    *
    * @param key the request key
-   * @param requestId the run's id
+   * @param requestId the id of the run
    * @return the outcome; never fails
    */
   CompletableFuture<Outcome> claim(RequestKey key, String requestId);
 
   /**
-   * Gives up the claim of a run that surely did not send the request.
+   * Releases the claim of a run that certainly did not send the request.
    *
    * @param key the request key
-   * @param requestId the run's id
+   * @param requestId the id of the run
    */
   void release(RequestKey key, String requestId);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/request/error/RefusedException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/error/RefusedException.java
@@ -2,7 +2,7 @@
 
 import io.mothrill.core.request.Refusal;
 
-/** A request is not served; the caller gets the refusal. */
+/** Thrown when a request is refused. The caller receives the refusal. */
 public final class RefusedException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
   /**
    * Creates the error.
    *
-   * @param refusal what the caller is told
+   * @param refusal the refusal that the caller receives
    */
   public RefusedException(Refusal refusal) {
     super(refusal.message());
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Gives the refusal.
+   * Returns the refusal.
    *
-   * @return what the caller is told
+   * @return the refusal that the caller receives
    */
   public Refusal refusal() {
     return refusal;
--- a/mothrill-core/src/main/java/io/mothrill/core/request/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/package-info.java
@@ -1,2 +1,2 @@
-/** The path of a request: its key, its reservation, its run, its bill and its answer. */
+/** The processing of a request: its key, reservation, run, bill and answer. */
 package io.mothrill.core.request;
