--- a/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentId.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentId.java
@@ -1,17 +1,17 @@
 package io.mothrill.core.budget;
 
 /**
- * Names an allotment: one incarnation's share of one budget.
+ * Identifies an allotment, which is one incarnation's share of one budget.
  *
- * @param incarnation the incarnation that the platform granted it to
+ * @param incarnation the incarnation to which the platform granted it
  * @param budget the budget's name
  */
 public record AllotmentId(String incarnation, String budget) {
 
   /**
-   * Reads an id.
+   * Parses an id.
    *
-   * @param text what {@link #toString()} gave
+   * @param text the output of {@link #toString()}
    * @return the id
    */
   public static AllotmentId parse(String text) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentManager.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentManager.java
@@ -14,11 +14,12 @@
 import org.tinylog.Logger;
 
 /**
- * What the platform's table has granted to this incarnation, one allotment per budget.
+ * Obtains tokens from the platform's table for this incarnation, with one allotment per budget.
  *
- * <p>A grant and its budget's sum are written in one transaction, on the condition of the versions
- * that were read. The allotment's numbers are cumulative: after a lost answer the row itself says
- * what was granted, so an answer can be lost at any point without a token being counted twice.
+ * <p>The allotment and the budget's sum are written in one transaction that is conditional on the
+ * versions read. The numbers of an allotment are cumulative, so after a lost response the row
+ * itself shows what was granted. A response can therefore be lost at any point without a token
+ * being counted twice.
  */
 public final class AllotmentManager implements TokenSource {
 
@@ -33,13 +34,13 @@
   private final Map<String, LocalAllotment> localAllotments = new ConcurrentHashMap<>();
 
   /**
-   * Creates the allotments of one incarnation.
+   * Creates the manager.
    *
    * @param table the platform's table
-   * @param lease the lease that the tokens are spent under
-   * @param sizing how much to ask for
-   * @param timers the time
-   * @param random spreads retries of those who race for the same budget
+   * @param lease the lease under which the tokens are spent
+   * @param sizing decides how many tokens to request
+   * @param timers the clock and timer service
+   * @param random randomizes the retry delay of instances that write the same budget concurrently
    */
   public AllotmentManager(
       TableService table, Lease lease, SizingPolicy sizing, Timers timers, Random random) {
@@ -50,7 +51,9 @@
     this.random = random;
   }
 
-  /** One allotment as this incarnation knows it; its numbers change only in turn. */
+  /**
+   * An allotment as known to this incarnation. Its numbers are changed by one operation at a time.
+   */
   private static final class LocalAllotment {
     private final TokenPool pool;
     private final List<RowKey> rows;
@@ -68,7 +71,7 @@
               BudgetTables.lease(lease.incarnation()));
     }
 
-    /** Lets one operation on the row follow the other. */
+    /** Runs an operation on the row after the previous one has completed. */
     synchronized <T> CompletableFuture<T> runSerially(Supplier<CompletableFuture<T>> operation) {
       CompletableFuture<T> next =
           last.handle((ignored, error) -> null).thenCompose(ignored -> operation.get());
@@ -77,10 +80,10 @@
     }
 
     /**
-     * Learns from the row what became of writes whose answers were lost.
+     * Updates the local numbers from the row when the responses to writes were lost.
      *
-     * <p>Only this incarnation changes what is granted, and each write is bound to the version it
-     * read, so at most one of several doubtful writes can have taken effect.
+     * <p>Only this incarnation changes the granted amount, and each write is conditional on the
+     * version it read, so at most one of several writes with unknown outcome can have been applied.
      */
     void reconcile(AllotmentRow row) {
       if (returningTokens > 0 && row.grantedTokens() == grantedTokens - returningTokens) {
@@ -93,7 +96,7 @@
     }
   }
 
-  /** The rows that a change of an allotment depends on. */
+  /** The rows on which a change of an allotment depends. */
   private record Rows(Row budgetRow, Row allotmentRow, Row leaseRow) {
 
     static Rows of(List<Row> rows) {
@@ -132,10 +135,10 @@
   }
 
   /**
-   * Finds this incarnation's pool of a budget.
+   * Returns the pool of this incarnation for a budget.
    *
    * @param budget the budget's name
-   * @return the pool, or null when the account was never opened
+   * @return the pool, or null when the account has not been opened
    */
   TokenPool poolOf(String budget) {
     LocalAllotment found = localAllotments.get(budget);
@@ -143,10 +146,10 @@
   }
 
   /**
-   * Says whether a budget was nearly spent when the platform was last asked.
+   * Checks whether the budget was scarce at the last request to the platform.
    *
    * @param budget the budget's name
-   * @return true when nothing is to be held that is not reserved
+   * @return true when only reserved tokens may be held
    */
   boolean isScarce(String budget) {
     LocalAllotment found = localAllotments.get(budget);
@@ -161,7 +164,7 @@
             () -> reconcileReturn(allotment, 1).thenCompose(rows -> grant(allotment, demand, 1)))
         .exceptionally(
             error -> {
-              Logger.debug("no grant for {}: {}", demand.budget(), error.getMessage());
+              Logger.debug("no tokens granted for budget {}: {}", demand.budget(), error.getMessage());
               return Result.UNREACHABLE;
             });
   }
@@ -208,7 +211,7 @@
             });
   }
 
-  /** Reads again after another holder, or this one's ledger, changed a row in between. */
+  /** Retries after another holder, or the ledger of this one, changed a row concurrently. */
   private CompletableFuture<Result> retryGrant(
       LocalAllotment allotment, TokenDemand demand, int attempt) {
     return backOff(attempt).thenCompose(nothing -> grant(allotment, demand, attempt + 1));
@@ -217,7 +220,7 @@
   private CompletableFuture<Void> backOff(int attempt) {
     if (attempt >= MAX_ATTEMPTS) {
       return CompletableFuture.failedFuture(
-          new IllegalStateException("lost " + attempt + " races for a row"));
+          new IllegalStateException("gave up after " + attempt + " conflicting writes to a row"));
     }
     CompletableFuture<Void> waited = new CompletableFuture<>();
     long delayMs = attempt == 1 ? 0 : 1 + random.nextInt(MAX_BACKOFF_MS);
@@ -226,14 +229,16 @@
   }
 
   /**
-   * Gives tokens back to the budget.
+   * Returns tokens to the budget.
    *
-   * <p>They leave the pool first. If the answer is lost, they stay out of the pool until the row
-   * says whether the return took effect: putting them back early could let two instances hold them.
+   * <p>The tokens are removed from the pool first. If the response is lost, they stay out of the
+   * pool until the row shows whether the return was applied. Adding them back earlier could let two
+   * instances hold the same tokens.
    *
    * @param budget the budget's name
-   * @param tokens at most this many
-   * @return completes when the return is settled, fails when the platform does not answer
+   * @param tokens the maximum number of tokens to return
+   * @return completes when the outcome of the return is known; fails when the platform does not
+   *     respond
    */
   public CompletableFuture<Void> returnTokens(String budget, long tokens) {
     LocalAllotment allotment = localAllotments.get(budget);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentRow.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentRow.java
@@ -4,18 +4,20 @@
 import io.mothrill.core.platform.Row;
 
 /**
- * An allotment as the platform's table holds it: what one incarnation may spend of one budget.
+ * An allotment as stored in the platform's table: the tokens of one budget that one incarnation may
+ * spend.
  *
- * <p>All numbers are cumulative, so that a holder whose answer was lost reads the row and knows.
+ * <p>All numbers are cumulative, so a holder that lost a response learns the outcome from the row.
  *
- * @param grantedTokens granted and not given back
- * @param billedTokens billed by ledger batches; at most {@code grantedTokens}
+ * @param grantedTokens tokens granted and not returned
+ * @param billedTokens tokens billed by ledger batches; at most {@code grantedTokens}
  * @param ledgerSeq the number of ledger batches
- * @param closed true once the rest was taken back; a closed allotment takes no bill
+ * @param closed true once the remaining tokens have been reclaimed; a closed allotment accepts no
+ *     bills
  */
 public record AllotmentRow(long grantedTokens, long billedTokens, long ledgerSeq, boolean closed) {
 
-  /** Refuses rows that would allow overspending. */
+  /** Rejects values that would allow overspending. */
   public AllotmentRow {
     if (billedTokens < 0 || billedTokens > grantedTokens) {
       throw new IllegalArgumentException(
@@ -24,7 +26,7 @@
   }
 
   /**
-   * Reads an allotment.
+   * Creates an allotment from its row.
    *
    * @param row the row; may be absent
    * @return the allotment
@@ -39,20 +41,20 @@
   }
 
   /**
-   * Changes what was granted.
+   * Adds to the granted tokens.
    *
-   * @param tokens added, or given back when negative
-   * @return a copy
+   * @param tokens the tokens to add; negative when they are returned
+   * @return a copy with the new amount
    */
   public AllotmentRow grant(long tokens) {
     return new AllotmentRow(grantedTokens + tokens, billedTokens, ledgerSeq, closed);
   }
 
   /**
-   * Adds one ledger batch.
+   * Adds a ledger batch.
    *
    * @param tokens the sum of its bills
-   * @return a copy
+   * @return a copy with the batch added
    */
   public AllotmentRow bill(long tokens) {
     return new AllotmentRow(grantedTokens, billedTokens + tokens, ledgerSeq + 1, closed);
@@ -61,25 +63,25 @@
   /**
    * Closes the allotment.
    *
-   * @return a copy that takes no further bill
+   * @return a copy that accepts no further bills
    */
   public AllotmentRow close() {
     return new AllotmentRow(grantedTokens, billedTokens, ledgerSeq, true);
   }
 
   /**
-   * Says how much was granted and is not billed.
+   * Returns the tokens that are granted and not yet billed.
    *
-   * @return tokens held, reserved or not yet billed
+   * @return tokens that are held, reserved or used but not yet billed
    */
   public long unbilledTokens() {
     return grantedTokens - billedTokens;
   }
 
   /**
-   * Writes the allotment.
+   * Converts the allotment to cells.
    *
-   * @return the row's cells
+   * @return the cells of its row
    */
   public Cells toCells() {
     return Cells.empty()
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
@@ -16,13 +16,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Brings bills to the ledger by way of the instance that holds their allotment.
+ * Sends bills to the ledger through the instance that holds their allotment.
  *
- * <p>The holder posts the bills of all who borrowed from it in one batch, so the platform is not
- * written to by every instance for every budget. When the holder does not answer, this instance
- * posts itself, after a time at which the holder takes the message no more: its clock may differ by
- * the difference between the two times. The ledger is read before, so a bill that the holder has
- * posted, or has taken to post, is not written again.
+ * <p>The holder posts the bills of all its borrowers in one batch, so the platform is not written
+ * to by every instance for every budget. When the holder does not respond, this instance posts the
+ * bills itself, after a delay that is longer than the validity of the message at the holder. The
+ * clocks of the two instances may differ by the difference between the two times. The ledger is
+ * read before posting, so a bill that the holder has posted, or has accepted for posting, is not
+ * written again.
  */
 public final class BillForwarder {
 
@@ -54,11 +55,11 @@
   private record PendingBill(PostBills.Line line, CompletableFuture<Void> posted) {}
 
   /**
-   * Takes a bill.
+   * Adds a bill.
    *
-   * @param allotment the allotment that it draws on
+   * @param allotment the allotment whose tokens it used
    * @param entry the bill
-   * @return completes when the bill is in the ledger
+   * @return completes when the bill has been written to the ledger
    */
   public CompletableFuture<Void> add(AllotmentId allotment, LedgerEntry entry) {
     Optional<InstanceRecord> holder = holderOf(allotment);
@@ -74,11 +75,11 @@
   }
 
   /**
-   * Takes a bill of a runner that is gone, which it may have posted itself.
+   * Adds a bill on behalf of a runner that has left the fleet and may have posted the bill itself.
    *
-   * @param allotment the allotment that it draws on
+   * @param allotment the allotment whose tokens it used
    * @param entry the bill
-   * @return completes when the bill is in the ledger
+   * @return completes when the bill has been written to the ledger
    */
   public CompletableFuture<Void> recover(AllotmentId allotment, LedgerEntry entry) {
     return ledger.recover(allotment, entry);
@@ -145,9 +146,9 @@
   }
 
   /**
-   * Counts the bills that are not in the ledger yet.
+   * Returns the number of bills that have not been written to the ledger yet.
    *
-   * @return bills taken here
+   * @return the number of bills added at this instance
    */
   public int pendingCount() {
     synchronized (pendingByHolder) {
@@ -155,7 +156,7 @@
     }
   }
 
-  /** Brings what is waiting on its way at once. */
+  /** Sends all pending bills immediately. */
   public void flush() {
     forward();
     ledger.flush();
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BillPart.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BillPart.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.budget;
 
 /**
- * What one request owes to one allotment.
+ * The part of a bill that one request owes to one allotment.
  *
- * @param allotment the allotment whose tokens it used
- * @param tokens how many
+ * @param allotment the allotment whose tokens were used
+ * @param tokens the number of tokens
  */
 public record BillPart(AllotmentId allotment, long tokens) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Borrows tokens from other instances and hands back what is left.
+ * Borrows tokens from other instances and returns the unused ones.
  *
- * <p>A transfer whose reply was lost stays on record and is asked for again under the same id, so
- * the tokens that the lender has already given up are not lost.
+ * <p>A transfer whose reply was lost stays pending and is requested again under the same id, so the
+ * tokens that the lender has already removed from its pool are not lost.
  */
 final class Borrower {
 
@@ -41,7 +41,7 @@
   private record PendingLoan(
       InstanceRecord lender, BorrowRequest request, BudgetAccount account, long sentAtMs) {}
 
-  /** Asks one peer for tokens. */
+  /** Requests tokens from one peer. */
   CompletableFuture<Result> borrow(
       InstanceRecord lender,
       BudgetAccount account,
@@ -87,7 +87,7 @@
     loan.account().addPool(pool);
   }
 
-  /** Hands tokens of a pool back to the instance that holds their allotment. */
+  /** Returns the tokens of a pool to the instance that holds their allotment. */
   void handBack(TokenPool pool) {
     long tokens = pool.takeUpTo(Long.MAX_VALUE);
     if (tokens > 0) {
@@ -111,7 +111,7 @@
             });
   }
 
-  /** Repeats what got no reply, as long as the other instance is still known. */
+  /** Retries transfers that got no reply, as long as the other instance is still known. */
   void retryOpen() {
     pendingReturns.values().forEach(this::send);
     pendingLoans.values().removeIf(this::isLenderGone);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetAccount.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetAccount.java
@@ -18,18 +18,20 @@
 import java.util.function.Consumer;
 
 /**
- * One budget on one instance: the pools it may spend from and the requests that wait for tokens.
+ * The account of one budget on one instance: the pools from which it may spend and the requests
+ * that wait for tokens.
  *
- * <p>A request that finds room is served by atomics alone. One that does not waits while the
- * sources are asked in turn; it is refused as soon as all of them have answered without helping.
+ * <p>When the pools have enough tokens, a request is served by atomic operations alone. Otherwise
+ * it waits while the sources are asked in turn, and it is refused as soon as all of them have
+ * responded without providing enough.
  */
 public final class BudgetAccount {
 
   private static final long EXHAUSTED_CACHE_MS = 20;
 
   /**
-   * Rounds that bring tokens without serving a request before it is refused: others took the tokens
-   * each time, so more rounds would only add to the load.
+   * The number of rounds after which a request is refused although they brought tokens. Other
+   * requests took the tokens each time, so more rounds would only add load.
    */
   private static final int MAX_ROUNDS = 8;
 
@@ -56,7 +58,7 @@
   private record Waiter(
       long needTokens, long joinedRound, CompletableFuture<Reservation> reserved) {}
 
-  /** What the sources that were asked in a round have answered so far. */
+  /** The combined results of the sources that have been asked in a round. */
   private record RoundResult(boolean anyUnreachable, boolean anyAdded) {
 
     private static final RoundResult NONE = new RoundResult(false, false);
@@ -72,7 +74,7 @@
   }
 
   /**
-   * Gives the budget's name.
+   * Returns the budget's name.
    *
    * @return the name
    */
@@ -81,10 +83,11 @@
   }
 
   /**
-   * Reserves tokens, asking the sources when the account has too few.
+   * Reserves tokens, requesting more from the sources when the account has too few.
    *
-   * @param tokens the most that the request may use
-   * @return the reservation; fails with {@link BudgetException} when there is no room
+   * @param tokens the maximum number of tokens that the request may use
+   * @return the reservation; fails with {@link BudgetException} when not enough tokens are
+   *     available
    */
   public CompletableFuture<Reservation> reserve(long tokens) {
     rate.update(tokens);
@@ -105,9 +108,9 @@
   }
 
   /**
-   * Reserves tokens only if the account has enough of them now.
+   * Reserves tokens only if the account has enough of them available.
    *
-   * @param tokens the most that the request may use
+   * @param tokens the maximum number of tokens that the request may use
    * @return the reservation, or empty
    */
   public Optional<Reservation> tryReserve(long tokens) {
@@ -141,9 +144,9 @@
   }
 
   /**
-   * Says how much could be reserved now.
+   * Returns the number of tokens that can be reserved now.
    *
-   * @return tokens in pools that may still be spent
+   * @return the tokens in pools that may still be spent
    */
   public long availableTokens() {
     long nowMs = timers.nowMs();
@@ -154,20 +157,26 @@
   }
 
   /**
-   * Says how fast the account is drawn on.
+   * Returns the rate at which tokens are drawn from the account.
    *
-   * @return tokens per second over the last minute
+   * @return tokens per second, averaged over the last minute
    */
   public double ratePerSecond() {
     return rate.getRate(TimeUnit.SECONDS);
   }
 
-  /** Counts tokens lent to others as drawn on, so that a holder holds enough for its domain. */
+  /**
+   * Includes tokens lent to others in the rate, so that a holder holds enough for its failure
+   * domain.
+   */
   void recordLent(long tokens) {
     rate.update(tokens);
   }
 
-  /** Lets the rate follow the time; called every five seconds, as the average expects. */
+  /**
+   * Updates the rate. Called every five seconds, which is the interval that the moving average
+   * expects.
+   */
   void tickRate() {
     rate.tick();
   }
@@ -191,7 +200,7 @@
         });
   }
 
-  /** Forgets pools that are empty or can no longer be spent from, except this instance's own. */
+  /** Removes pools that are empty or may no longer be spent, except the pool of this instance. */
   void removeSpentPools(TokenPool own) {
     long nowMs = timers.nowMs();
     pools.updateAndGet(
@@ -203,10 +212,10 @@
   }
 
   /**
-   * Takes tokens out for another instance.
+   * Removes tokens to lend them to another instance.
    *
-   * @param limitTokens at most this many
-   * @return the tokens by pool; empty when there are none
+   * @param limitTokens the maximum number of tokens
+   * @return the tokens by pool; empty when none are available
    */
   List<Reservation.Part> takeForLoan(long limitTokens) {
     long nowMs = timers.nowMs();
@@ -222,7 +231,7 @@
     return parts;
   }
 
-  /** Asks for more tokens ahead of need, unless the sources are being asked already. */
+  /** Requests more tokens ahead of need, unless a request to the sources is in flight. */
   void refill() {
     synchronized (waiters) {
       if (refilling) {
@@ -267,7 +276,7 @@
     return demandFor(Math.max(1, needTokens - availableTokens()));
   }
 
-  /** Describes what the account lacks. */
+  /** Returns the current demand of the account. */
   TokenDemand demandFor(long needTokens) {
     return new TokenDemand(budget, needTokens, ratePerSecond(), availableTokens(), false);
   }
@@ -302,7 +311,10 @@
                 roundResult));
   }
 
-  /** Serves waiting requests in order; a smaller one may pass a larger one that lacks tokens. */
+  /**
+   * Serves waiting requests in order. A smaller request may overtake a larger one for which there
+   * are too few tokens.
+   */
   private List<Runnable> serveWaiters() {
     List<Runnable> completions = new ArrayList<>();
     waiters.removeIf(
@@ -321,12 +333,14 @@
   }
 
   /**
-   * Refuses those that all sources have answered for, and asks again for the others.
+   * Refuses the requests for which no source had enough tokens, and starts another round for the
+   * others.
    *
-   * <p>Failure: a request joins a round after the platform was asked for less than it needs, or a
-   * request that found room at once takes what the round has brought. Symptom: it is refused though
-   * the budget has room. Only requests that waited when the round began, and for which it brought
-   * nothing, are refused; the others get a round of their own.
+   * <p>A request may join a round after the platform was asked for less than it needs, or a request
+   * that finds free tokens may take those that the round brought. Refusing the waiting request
+   * would then be wrong, because the budget has enough tokens. Therefore only requests that were
+   * waiting when the round started, and for which it brought no tokens, are refused; the others get
+   * a new round.
    */
   private void endRound(RoundResult roundResult) {
     List<Runnable> completions;
@@ -361,10 +375,11 @@
   }
 
   /**
-   * Remembers for a moment that the budget had no room.
+   * Caches for a short time that the budget is exhausted.
    *
-   * <p>Failure: callers go on asking an empty budget. Symptom: every refusal costs reads at the
-   * platform and messages to all peers. For a few milliseconds the last answer is given again.
+   * <p>Without the cache, callers that keep requesting an exhausted budget would cause reads at the
+   * platform and messages to all peers for every refusal. For a few milliseconds the last refusal
+   * is repeated instead.
    */
   private void cacheExhausted(long needTokens) {
     exhaustedNeedTokens = needTokens;
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
@@ -15,7 +15,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * All budgets on one instance: opens accounts, refills them ahead of need and returns surplus.
+ * Manages all budgets of one instance: opens accounts, refills them ahead of need and returns
+ * surplus tokens.
  *
  * <pre>{@code
  * controller.account("branch-2026").reserve(1_500).thenAccept(reservation -> ...);
@@ -38,14 +39,14 @@
    * Creates the controller and starts its timers.
    *
    * @param table the platform's table
-   * @param lease the lease that tokens are spent under
-   * @param members the fleet
-   * @param links the way to peers
-   * @param dispatcher where requests from peers are served
-   * @param timers the time
-   * @param random spreads retries
-   * @param metrics counts what happens
-   * @param settings how budgets are held
+   * @param lease the lease under which tokens are spent
+   * @param members the current membership
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of peer requests are registered
+   * @param timers the clock and timer service
+   * @param random randomizes retry delays
+   * @param metrics the metric registry
+   * @param settings the budget settings
    */
   public BudgetController(
       TableService table,
@@ -77,7 +78,7 @@
   }
 
   /**
-   * Gives the account of a budget.
+   * Returns the account of a budget.
    *
    * @param budget the budget's name
    * @return the account, opened on first use
@@ -93,25 +94,26 @@
   }
 
   /**
-   * Gives the way to the ledger.
+   * Returns the forwarder that sends bills to the ledger.
    *
-   * @return where bills are handed in
+   * @return the forwarder
    */
   public BillForwarder bills() {
     return bills;
   }
 
   /**
-   * Says whether this incarnation may still hold allotments.
+   * Checks whether other instances have closed the lease of this incarnation, so that it may hold
+   * no allotments.
    *
-   * @return false once others have closed its lease
+   * @return true once the lease is closed
    */
   public boolean isFenced() {
     return lease.isClosed();
   }
 
   /**
-   * Lists the accounts that were opened.
+   * Returns the accounts opened so far.
    *
    * @return the accounts
    */
@@ -137,10 +139,10 @@
   }
 
   /**
-   * Returns at once what a request did not use of a budget that is nearly spent.
+   * Returns the unused tokens of a scarce budget immediately after a request is settled.
    *
-   * <p>While other requests wait here, nothing is returned: it may be what they have gathered so
-   * far, and they would be refused although the budget has room.
+   * <p>While other requests wait in this account, nothing is returned: the tokens may have been
+   * collected for them, and they would be refused although the budget has enough tokens.
    */
   private void onSettled(BudgetAccount account) {
     if (allotments.isScarce(account.budget()) && !account.isRefilling()) {
@@ -148,7 +150,7 @@
     }
   }
 
-  /** Returns borrowed tokens to their holders and own ones to the budget. */
+  /** Returns borrowed tokens to their holders and own tokens to the budget. */
   private void returnSurplus(BudgetAccount account, long surplusTokens) {
     TokenPool own = allotments.poolOf(account.budget());
     account.pools().stream().filter(pool -> pool != own).forEach(borrower::handBack);
@@ -160,9 +162,9 @@
   }
 
   /**
-   * Returns everything that is not reserved, before the instance leaves.
+   * Returns all tokens that are not reserved, before the instance leaves.
    *
-   * @return completes when the platform has taken it, fails when it does not answer
+   * @return completes when the platform has accepted the return; fails when it does not respond
    */
   public CompletableFuture<Void> returnAll() {
     List<CompletableFuture<Void>> returns = new ArrayList<>();
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetRow.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetRow.java
@@ -4,15 +4,15 @@
 import io.mothrill.core.platform.Row;
 
 /**
- * A budget as the platform's table holds it.
+ * A budget as stored in the platform's table.
  *
  * @param paidTokens the sum of all top-ups
- * @param allottedTokens what open allotments were granted and closed ones were billed; at most
- *     {@code paidTokens}
+ * @param allottedTokens the tokens granted to open allotments plus those billed to closed ones; at
+ *     most {@code paidTokens}
  */
 public record BudgetRow(long paidTokens, long allottedTokens) {
 
-  /** Refuses rows that would allow overspending. */
+  /** Rejects values that would allow overspending. */
   public BudgetRow {
     if (allottedTokens < 0 || allottedTokens > paidTokens) {
       throw new IllegalArgumentException(
@@ -21,7 +21,7 @@
   }
 
   /**
-   * Reads a budget.
+   * Creates a budget from its row.
    *
    * @param row the row; may be absent
    * @return the budget
@@ -31,18 +31,18 @@
   }
 
   /**
-   * Says how much may still be granted.
+   * Returns the tokens that may still be granted.
    *
-   * @return tokens that no allotment holds
+   * @return the tokens that no allotment holds
    */
   public long freeTokens() {
     return paidTokens - allottedTokens;
   }
 
   /**
-   * Grants tokens, or takes them back when negative.
+   * Adds tokens to the allotted sum.
    *
-   * @param tokens how many
+   * @param tokens the tokens to add; negative when they are returned
    * @return a copy with the new sum
    */
   public BudgetRow allot(long tokens) {
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Writes the budget.
+   * Converts the budget to cells.
    *
-   * @return the row's cells
+   * @return the cells of its row
    */
   public Cells toCells() {
     return Cells.empty().with("paid", paidTokens).with("allotted", allottedTokens);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetSettings.java
@@ -1,16 +1,17 @@
 package io.mothrill.core.budget;
 
 /**
- * How budgets are held.
+ * Settings of the budgets of an instance.
  *
- * @param leaseMs how long an instance may spend without the platform
- * @param marginMs how long before the lease's end nothing more is reserved
- * @param reclaimGraceMs how long after the lease's end an allotment still takes bills
- * @param enduranceMs how long an allotment should last
- * @param sliceMs how long a slice from the domain's holder should last
- * @param freeDivisor an allotment is at most this fraction of what is left
- * @param floorTokens the least that is worth a grant
- * @param postMs milliseconds between two ledger batches
+ * @param leaseMs the time for which an instance may spend tokens without reaching the platform
+ * @param marginMs the time before the end of the lease from which no more tokens are reserved
+ * @param reclaimGraceMs the time after the end of the lease during which an allotment still accepts
+ *     bills
+ * @param enduranceMs the time that an allotment should last
+ * @param sliceMs the time that a slice borrowed from the holder of the failure domain should last
+ * @param freeDivisor the divisor that limits an allotment to a fraction of the remaining tokens
+ * @param floorTokens the smallest grant that is useful
+ * @param postMs the interval between two ledger batches, in milliseconds
  */
 public record BudgetSettings(
     long leaseMs,
@@ -26,9 +27,9 @@
   private static final long HOUR_MS = 60 * MINUTE_MS;
 
   /**
-   * Gives the settings that suit both deployments.
+   * Returns the default settings for both deployments.
    *
-   * @return a lease of three hours, a grace of one, endurance of seventy minutes
+   * @return a lease of three hours, a grace period of one hour, an endurance of seventy minutes
    */
   public static BudgetSettings standard() {
     return new BudgetSettings(
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetTables.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetTables.java
@@ -5,7 +5,10 @@
 import io.mothrill.core.platform.RowKey;
 import java.util.Locale;
 
-/** Where budgets, allotments, leases and the ledger lie in the platform's table. */
+/**
+ * The tables and keys under which budgets, allotments, leases and the ledger are stored on the
+ * platform.
+ */
 public final class BudgetTables {
 
   /** Allotments, by allotment id. */
@@ -20,7 +23,7 @@
   /** Budgets, by name. */
   public static final String BUDGETS = "budgets";
 
-  /** Bills that came after their allotment was closed, by request id. */
+  /** Bills that arrived after their allotment was closed, by allotment id and request id. */
   public static final String LATE_BILLS = "late-bills";
 
   /** Top-ups, by budget and id. */
@@ -31,30 +34,30 @@
   private BudgetTables() {}
 
   /**
-   * Gives the address of a budget's row.
+   * Returns the key of a budget's row.
    *
    * @param budget the budget's name
-   * @return the address
+   * @return the key
    */
   public static RowKey budget(String budget) {
     return new RowKey(BUDGETS, budget);
   }
 
   /**
-   * Gives the address of a top-up.
+   * Returns the key of a top-up's row.
    *
    * @param budget the budget's name
    * @param id the top-up's id
-   * @return the address
+   * @return the key
    */
   public static RowKey topUp(String budget, String id) {
     return new RowKey(TOP_UPS, budget + "/" + id);
   }
 
   /**
-   * Makes the cells of a top-up.
+   * Creates the cells of a top-up.
    *
-   * @param tokens how many tokens were paid for
+   * @param tokens the number of tokens paid for
    * @return the cells
    */
   public static Cells topUpCells(long tokens) {
@@ -62,10 +65,10 @@
   }
 
   /**
-   * Reads a top-up.
+   * Returns the tokens of a top-up.
    *
    * @param row the top-up's row
-   * @return how many tokens it added
+   * @return the number of tokens that it added
    */
   public static long topUpTokens(Row row) {
     return row.cells().number(TOKENS);
@@ -74,9 +77,9 @@
   /**
    * Adds paid tokens to a budget.
    *
-   * @param row the budget's row as read
-   * @param tokens the tokens of new top-ups
-   * @return the budget's new cells
+   * @param row the row of the budget, as read
+   * @param tokens the number of tokens in new top-ups
+   * @return the new cells of the budget
    */
   public static Cells addPaid(Row row, long tokens) {
     BudgetRow budget = BudgetRow.of(row);
@@ -85,21 +88,21 @@
   }
 
   /**
-   * Gives the address of an allotment.
+   * Returns the key of an allotment's row.
    *
    * @param allotmentId the allotment's id
-   * @return the address
+   * @return the key
    */
   public static RowKey allotment(String allotmentId) {
     return new RowKey(ALLOTMENTS, allotmentId);
   }
 
   /**
-   * Gives the address of a ledger batch.
+   * Returns the key of a ledger batch.
    *
-   * @param allotmentId the allotment that the bills draw on
-   * @param seq the batch's sequence number, from 1
-   * @return the address
+   * @param allotmentId the allotment whose tokens the bills used
+   * @param seq the sequence number of the batch, starting at 1
+   * @return the key
    */
   public static RowKey ledger(String allotmentId, long seq) {
     return new RowKey(LEDGER, ledgerKey(allotmentId, seq));
@@ -110,10 +113,10 @@
   }
 
   /**
-   * Gives the address of an instance's lease.
+   * Returns the key of an instance's lease.
    *
-   * @param incarnation the instance's incarnation
-   * @return the address
+   * @param incarnation the incarnation of the instance
+   * @return the key
    */
   public static RowKey lease(String incarnation) {
     return new RowKey(LEASES, incarnation);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/EnduranceSizing.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/EnduranceSizing.java
@@ -1,16 +1,17 @@
 package io.mothrill.core.budget;
 
 /**
- * Sizes an allotment so that it lasts for a wanted time, and less when the budget runs low.
+ * Sizes an allotment to last for a given time, and smaller when the budget runs low.
  *
- * <p>A large allotment lets a cut-off instance go on for longer; a small one leaves the last tokens
- * where any instance finds them. An allotment is therefore at most a fraction of what is left: of
- * the free tokens and of its own. Were one grant bounded instead of the whole allotment, a holder
- * that is refilled again and again would drain the budget all the same.
+ * <p>A large allotment lets an instance that is partitioned from the platform continue for longer;
+ * a small one leaves the last tokens where any instance can get them. An allotment is therefore at
+ * most a fraction of the remaining tokens, which are the free tokens and its own. The whole
+ * allotment is limited rather than a single grant, because a holder that is refilled repeatedly
+ * would otherwise drain the budget.
  *
- * <p>When that fraction is less than is worth holding, nothing is held ahead of need: pieces of the
- * last tokens in several places would each be too small for a request that all together could
- * serve.
+ * <p>When that fraction is smaller than the floor, no tokens are held ahead of need. The last
+ * tokens would otherwise be split into parts that are each too small for a request that all of them
+ * together could serve.
  */
 public final class EnduranceSizing implements SizingPolicy {
 
@@ -21,9 +22,9 @@
   /**
    * Creates the policy.
    *
-   * @param enduranceMs how long an allotment should last without the platform
-   * @param freeDivisor an allotment is at most this fraction of what is left
-   * @param floorTokens the least that is worth a grant, while the budget has it
+   * @param enduranceMs the time that an allotment should last without the platform
+   * @param freeDivisor the divisor that limits an allotment to a fraction of the remaining tokens
+   * @param floorTokens the smallest useful grant, as long as the budget has that many tokens
    */
   public EnduranceSizing(long enduranceMs, long freeDivisor, long floorTokens) {
     this.enduranceMs = enduranceMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/HolderSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/HolderSource.java
@@ -7,11 +7,12 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Gets tokens from the budget's holder in this failure domain, which alone asks the platform.
+ * Gets tokens from the budget's holder in this failure domain, the only instance there that
+ * requests them from the platform.
  *
- * <p>With one holder per budget and domain, the platform's table sees a few allotments per budget,
- * however many instances there are. A holder that does not answer is passed over: the instance then
- * takes an allotment of its own, which is safe, since allotments are disjoint.
+ * <p>With one holder per budget and failure domain, the platform's table has only a few allotments
+ * per budget, regardless of the number of instances. A holder that does not respond is bypassed:
+ * the instance then takes an allotment of its own, which is safe because allotments are disjoint.
  */
 final class HolderSource implements TokenSource {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lease.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lease.java
@@ -11,10 +11,10 @@
 import org.tinylog.Logger;
 
 /**
- * The lease under which this incarnation spends what it was allotted.
+ * The lease under which this incarnation spends its allotments.
  *
- * <p>One row serves all of an instance's allotments, so the platform is written to once per
- * instance and renewal, however many budgets there are.
+ * <p>One row covers all allotments of an instance, so the platform is written to once per instance
+ * and renewal, regardless of the number of budgets.
  */
 public final class Lease {
 
@@ -33,13 +33,14 @@
   private volatile boolean renewed;
 
   /**
-   * Creates the lease and starts to renew it.
+   * Creates the lease and starts its periodic renewal.
    *
    * @param table the platform's table
-   * @param timers the time
+   * @param timers the clock and timer service
    * @param incarnation the incarnation that holds the lease
-   * @param leaseMs how long the lease lasts after a renewal
-   * @param marginMs how long before its end nothing more is reserved: the longest request and more
+   * @param leaseMs the duration of the lease after a renewal
+   * @param marginMs the time before the end of the lease from which no more tokens are reserved;
+   *     longer than the longest request
    */
   public Lease(TableService table, Timers timers, String incarnation, long leaseMs, long marginMs) {
     this.table = table;
@@ -52,17 +53,17 @@
   }
 
   /**
-   * Says whether a lease was closed by others.
+   * Checks whether a lease has been closed by another instance.
    *
    * @param row the lease's row
-   * @return true once its allotments are being taken back
+   * @return true once its allotments are being reclaimed
    */
   public static boolean isClosedRow(Row row) {
     return row.cells().number(CLOSED) == 1;
   }
 
   /**
-   * Gives the incarnation that holds the lease.
+   * Returns the incarnation that holds the lease.
    *
    * @return the incarnation
    */
@@ -71,27 +72,28 @@
   }
 
   /**
-   * Says how long tokens may be reserved under this lease.
+   * Returns the time until which tokens may be reserved under this lease.
    *
-   * @return the time on the timer service
+   * @return a time of the timer service, in milliseconds
    */
   public long spendUntilMs() {
     return spendUntilMs.get();
   }
 
   /**
-   * Says whether the lease is in force now.
+   * Checks whether the lease is valid now.
    *
-   * @return true while what is held under it may be used
+   * @return true while tokens and ranges held under it may be used
    */
   public boolean isValid() {
     return timers.nowMs() < spendUntilMs();
   }
 
   /**
-   * Says whether others have closed the lease, after which this incarnation can hold nothing.
+   * Checks whether another instance has closed the lease, after which this incarnation can hold
+   * nothing.
    *
-   * @return true once it was found closed
+   * @return true once the lease was found closed
    */
   public boolean isClosed() {
     return closed;
@@ -100,7 +102,7 @@
   /**
    * Renews the lease.
    *
-   * @return the lease's row after the renewal; fails when the platform does not answer
+   * @return the row of the lease after the renewal; fails when the platform does not respond
    */
   public CompletableFuture<Row> renew() {
     long sentAtMs = timers.nowMs();
@@ -122,16 +124,16 @@
   /**
    * Writes the renewal, unless the lease was closed.
    *
-   * <p>Failure: an instance wakes up after its lease was closed and its row was removed, and renews
-   * it as if it were new. Symptom: it spends an allotment that was granted to others. A row that
-   * was there before and is not there now was closed.
+   * <p>An instance may resume after its lease was closed and its row was removed. If it renewed the
+   * lease as a new one, it would spend an allotment that has been granted to others. A row that
+   * existed before and no longer exists therefore counts as closed.
    */
   private CompletableFuture<Row> write(Row row, long sentAtMs) {
     boolean rowRemoved = renewed && !row.exists();
     if (rowRemoved || row.cells().number(CLOSED) == 1) {
       closed = true;
       spendUntilMs.set(Long.MIN_VALUE);
-      Logger.error("lease of {} was closed by another instance; it spends no more", incarnation);
+      Logger.error("lease of {} was closed by another instance; no more tokens are reserved", incarnation);
       return CompletableFuture.failedFuture(new IllegalStateException("lease closed"));
     }
     Cells cells = Cells.empty().with(RENEWED_WALL_MS, timers.wallMs()).with(LEASE_MS, leaseMs);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerEntry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerEntry.java
@@ -4,21 +4,21 @@
 import java.util.stream.Collectors;
 
 /**
- * One line of a ledger batch: what one request owes to the batch's allotment.
+ * One line of a ledger batch: the tokens that one request owes to the allotment of the batch.
  *
- * @param requestId the run that is billed
+ * @param requestId the id of the run that is billed
  * @param key the request key, as {@code team/key}
- * @param tokens how many tokens it used of this allotment
+ * @param tokens the number of tokens of this allotment that were used
  */
 public record LedgerEntry(String requestId, String key, long tokens) {
 
   private static final String TAB = "\t";
 
   /**
-   * Writes a batch.
+   * Formats a batch.
    *
    * @param entries the lines
-   * @return text for one cell
+   * @return the text of one cell
    */
   static String format(List<LedgerEntry> entries) {
     return entries.stream()
@@ -27,9 +27,9 @@
   }
 
   /**
-   * Reads a batch.
+   * Parses a batch.
    *
-   * @param text what {@link #format} wrote
+   * @param text the output of {@link #format}
    * @return the lines
    */
   public static List<LedgerEntry> parse(String text) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerPoster.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerPoster.java
@@ -19,13 +19,14 @@
 import org.tinylog.Logger;
 
 /**
- * Writes bills to the platform's ledger in batches, each bill once.
+ * Writes bills to the platform's ledger in batches, each bill exactly once.
  *
- * <p>A bill can only go to the ledger of the allotment whose tokens it used, and every batch is
- * written together with that allotment's row. Failure: an answer is lost, or a second instance
- * posts for one that it believes dead. Symptom: a request is billed twice. Whoever finds more
- * batches in the row than it knows of reads them first and drops the bills that are already there,
- * so it does not matter who wrote them, or how often a batch was tried.
+ * <p>A bill is written only to the ledger of the allotment whose tokens it used, and each batch is
+ * written in one transaction with the row of that allotment. When a response is lost, or a second
+ * instance posts for one that it considers crashed, a request could be billed twice. A poster that
+ * finds more batches counted in the row than it knows therefore reads them first and drops the
+ * bills that they already contain. It does not matter who wrote them or how often a batch was
+ * retried.
  */
 public final class LedgerPoster {
 
@@ -49,13 +50,13 @@
   private final Counter lateTokens;
 
   /**
-   * Creates the poster and starts to post.
+   * Creates the poster and starts to post periodically.
    *
    * @param table the platform's table
-   * @param poster the incarnation that posts, for audits
-   * @param timers the time
-   * @param metrics counts what was posted
-   * @param postMs milliseconds between two batches
+   * @param poster the incarnation that posts, recorded for audits
+   * @param timers the clock and timer service
+   * @param metrics the metric registry
+   * @param postMs the interval between two batches, in milliseconds
    */
   public LedgerPoster(
       TableService table, String poster, Timers timers, MetricRegistry metrics, long postMs) {
@@ -69,7 +70,7 @@
 
   private record Pending(LedgerEntry entry, boolean recovered, CompletableFuture<Void> posted) {}
 
-  /** Bills for one allotment that are being written. */
+  /** A batch of bills for one allotment that is being written. */
   private record Batch(Row row, List<Pending> bills) {
 
     long tokens() {
@@ -90,11 +91,11 @@
   }
 
   /**
-   * Takes a bill.
+   * Adds a bill.
    *
-   * @param allotment the allotment that it draws on
+   * @param allotment the allotment whose tokens it used
    * @param entry the bill
-   * @return completes when the bill is in the ledger
+   * @return completes when the bill has been written to the ledger
    */
   public CompletableFuture<Void> add(AllotmentId allotment, LedgerEntry entry) {
     return add(allotment, entry, false);
@@ -118,19 +119,21 @@
   }
 
   /**
-   * Takes a bill that another instance may have posted before.
+   * Adds a bill that another instance may already have posted.
    *
-   * <p>Failure: a home posts for a runner that it believes dead, but that had posted already.
-   * Symptom: a request is billed twice. What this poster knows of the ledger is forgotten, so that
-   * every batch of the allotment is read again in the next round, before the bill is written. It is
-   * forgotten only between two rounds: a round under way would count on from a wrong number.
+   * <p>An instance may post a bill on behalf of a runner that it considers crashed but that has
+   * already posted it, so the request would be billed twice. The known sequence number of the
+   * ledger is therefore dropped, so that all batches of the allotment are read again in the next
+   * round, before the bill is written. It is dropped only between two rounds, because a round in
+   * flight would continue counting from a wrong number.
    *
-   * <p>The runner may come back later and hand in the bill for the first time. Recovered bills are
-   * therefore marked in the ledger, and whoever reads or writes such a mark remembers it.
+   * <p>The runner may return later and add the bill for the first time. Recovered bills are
+   * therefore marked in the ledger, and every poster that reads or writes such a mark remembers the
+   * bill.
    *
-   * @param allotment the allotment that it draws on
+   * @param allotment the allotment whose tokens it used
    * @param entry the bill
-   * @return completes when the bill is in the ledger
+   * @return completes when the bill has been written to the ledger
    */
   public CompletableFuture<Void> recover(AllotmentId allotment, LedgerEntry entry) {
     synchronized (pending) {
@@ -140,9 +143,9 @@
   }
 
   /**
-   * Counts the bills that are not in the ledger yet.
+   * Returns the number of bills that have not been written to the ledger yet.
    *
-   * @return bills
+   * @return the number of pending bills
    */
   public int pendingCount() {
     synchronized (pending) {
@@ -150,7 +153,7 @@
     }
   }
 
-  /** Writes the next batches, unless some are still under way. */
+  /** Writes the next batches, unless a round is in flight. */
   public void flush() {
     if (!busy.compareAndSet(false, true)) {
       return;
@@ -170,12 +173,15 @@
                 (nothing, error) -> {
                   busy.set(false);
                   if (error != null) {
-                    Logger.debug("ledger batch not written: {}", error.getMessage());
+                    Logger.debug("failed to write ledger batch: {}", error.getMessage());
                   }
                 });
   }
 
-  /** Only bills that were there before the ledger is read may be written after it was read. */
+  /**
+   * Selects the bills of a round before the ledger is read. Bills added after the read could
+   * already be in the ledger and must not be written in this round.
+   */
   private Map<AllotmentId, List<Pending>> nextRound() {
     Map<AllotmentId, List<Pending>> round = new LinkedHashMap<>();
     synchronized (pending) {
@@ -192,7 +198,7 @@
     return round;
   }
 
-  /** Reads batches that were not known of, and drops the bills that stand there. */
+  /** Reads batches that are not known yet, and drops the pending bills that they contain. */
   private CompletableFuture<List<Row>> dropPosted(List<AllotmentId> allotments, List<Row> rows) {
     CompletableFuture<Void> read = CompletableFuture.completedFuture(null);
     for (int index = 0; index < rows.size(); index++) {
@@ -216,7 +222,7 @@
             found -> {
               found.forEach(row -> applyBatch(allotment, row));
               if (found.isEmpty()) {
-                throw new IllegalStateException("ledger of " + allotment + " has a gap");
+                throw new IllegalStateException("ledger of " + allotment + " is missing a batch");
               }
               return catchUp(allotment, seq);
             });
@@ -310,7 +316,8 @@
   }
 
   /**
-   * Keeps bills that came after their allotment was closed where operators find them.
+   * Stores bills that arrived after their allotment was closed in a table of their own, for
+   * operators.
    *
    * <p>Their tokens may have been granted to others, so billing them could overspend the budget.
    */
@@ -332,7 +339,7 @@
     boolean late = AllotmentRow.of(batch.row()).closed();
     if (late) {
       lateTokens.inc(batch.tokens());
-      Logger.error("{} bills came after {} was closed", batch.bills().size(), allotment);
+      Logger.error("{} bills arrived after allotment {} was closed", batch.bills().size(), allotment);
     } else {
       postedTokens.inc(batch.tokens());
       synchronized (pending) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
@@ -17,10 +17,10 @@
 import java.util.function.Function;
 
 /**
- * Lends tokens to other instances, and takes back what they do not need.
+ * Lends tokens to other instances and accepts the return of unused ones.
  *
- * <p>Tokens leave this instance's pool before the reply is sent. A borrower that missed the reply
- * asks again under the same transfer id and gets the same tokens.
+ * <p>Tokens are removed from the pool of this instance before the reply is sent. A borrower that
+ * did not receive the reply repeats the request with the same transfer id and gets the same tokens.
  */
 public final class Lender {
 
@@ -70,7 +70,10 @@
     return first;
   }
 
-  /** Asks the platform when there is too little here, and says whether that could be asked. */
+  /**
+   * Requests tokens from the platform when too few are available here, and returns whether the
+   * platform responded.
+   */
   private CompletableFuture<Boolean> ensureAvailable(BorrowRequest request) {
     BudgetAccount account = accounts.apply(request.budget());
     if (!request.mayGrow() || account.availableTokens() >= request.needTokens()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/PeerSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/PeerSource.java
@@ -10,9 +10,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Borrows from other instances what the platform cannot give, so that the last tokens of a budget
- * are found wherever they lie, and so that a side that is cut off from the platform gets top-ups
- * through peers that are not.
+ * Borrows tokens from other instances when the platform cannot provide them. The last tokens of a
+ * budget are thereby found wherever they are held, and an instance that is partitioned from the
+ * platform gets top-ups through peers that are not.
  */
 final class PeerSource implements TokenSource {
 
@@ -33,7 +33,10 @@
     return askNext(account, demand, lenders, 0, anyUnreachable);
   }
 
-  /** Holders of other domains come first: what is not spent gathers there. */
+  /**
+   * Returns the lenders in the order in which they are asked. The holders of the failure domains
+   * come first, because unspent tokens accumulate there.
+   */
   private static List<InstanceRecord> lendersFor(String budget, Membership view) {
     Set<InstanceRecord> lenders = new LinkedHashSet<>();
     view.activeInstances().stream()
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
@@ -15,14 +15,15 @@
 import org.tinylog.Logger;
 
 /**
- * Takes back what crashed instances were granted and had not billed.
+ * Reclaims the tokens that crashed instances were granted and have not billed.
  *
- * <p>Failure: an instance is gone with tokens in its allotments. Symptom: a budget has room that
- * nobody can use. The instance may also only be paused or cut off, and the tokens it lent live on
- * elsewhere; so nothing proves that they are not being spent, except that the lease they are spent
- * under has run out. Every holder stops before that by its own clock, counted from when it sent its
- * last renewal. Bills may still be on their way, so a grace follows. A bill that comes later finds
- * the allotment closed and is set aside for the operators.
+ * <p>When an instance crashes, the tokens of its allotments stay allotted, and the budget has
+ * tokens that no instance can use. The instance may also only be paused or partitioned, and tokens
+ * that it lent may be held by other instances, so the only proof that they are no longer spent is
+ * that the lease under which they are spent has expired. Every holder stops before that by its own
+ * clock, counted from the time at which it sent its last renewal. Bills may still be in transit, so
+ * a grace period follows. A bill that arrives later finds the allotment closed and is stored
+ * separately for operators.
  */
 public final class Reclaimer {
 
@@ -36,12 +37,12 @@
   private final AtomicBoolean busy = new AtomicBoolean();
 
   /**
-   * Creates the reclaimer and starts its checks.
+   * Creates the reclaimer and starts its periodic checks.
    *
    * @param table the platform's table
-   * @param members the fleet, of which one instance does the work
-   * @param timers the time
-   * @param graceMs how long after a lease's end its allotments still take bills
+   * @param members the current membership, from which one instance is elected
+   * @param timers the clock and timer service
+   * @param graceMs the time after the end of a lease during which its allotments still accept bills
    */
   public Reclaimer(
       TableService table, PublishedValue<Membership> members, Timers timers, long graceMs) {
@@ -52,7 +53,10 @@
     timers.every(CHECK_MS, this::check);
   }
 
-  /** One instance is enough; should two think so, their writes collide and nothing is lost. */
+  /**
+   * Checks whether this instance is elected to reclaim. If two instances consider themselves
+   * elected, their writes conflict and nothing is lost.
+   */
   private boolean isElected() {
     Membership view = members.read();
     List<InstanceRecord> reachable =
@@ -101,7 +105,10 @@
     return cells.number(Lease.CLOSED) == 1 || timers.wallMs() > expiryWallMs;
   }
 
-  /** Closes the lease first, so that a holder which comes back can be granted nothing more. */
+  /**
+   * Closes the lease before its allotments, so that a holder that resumes cannot be granted more
+   * tokens.
+   */
   private CompletableFuture<Void> closeLease(Row lease) {
     if (lease.cells().number(Lease.CLOSED) == 1) {
       return closeAllotments(lease);
@@ -130,7 +137,7 @@
               return open.isEmpty()
                   ? table
                       .write(new Transaction(List.of(), List.of()).andDelete(lease))
-                      .thenAccept(deleted -> Logger.info("lease of {} reclaimed", incarnation))
+                      .thenAccept(deleted -> Logger.info("lease of {} deleted after all its allotments were reclaimed", incarnation))
                   : all;
             });
   }
@@ -143,7 +150,7 @@
             rows -> {
               BudgetRow budget = BudgetRow.of(rows.get(0));
               AllotmentRow allotment = AllotmentRow.of(rows.get(1));
-              Logger.info("reclaimed {} tokens of {}", allotment.unbilledTokens(), id);
+              Logger.info("reclaiming {} tokens of allotment {}", allotment.unbilledTokens(), id);
               return table.write(
                   Transaction.on(rows.get(0), budget.allot(-allotment.unbilledTokens()).toCells())
                       .and(rows.get(1), allotment.close().toCells()));
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Reservation.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Reservation.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Tokens set aside for one request, at most as many as it can use.
+ * The tokens reserved for one request, at most as many as it can use.
  *
  * <pre>{@code
- * List<BillPart> owed = reservation.settle(usedTokens);   // once; the rest goes back
+ * List<BillPart> owed = reservation.settle(usedTokens);   // once; unused tokens are returned
  * }</pre>
  */
 public final class Reservation {
@@ -29,7 +29,7 @@
   record Part(TokenPool pool, long tokens) {}
 
   /**
-   * Says how much was set aside.
+   * Returns the number of reserved tokens.
    *
    * @return tokens
    */
@@ -38,16 +38,17 @@
   }
 
   /**
-   * Ends the reservation: what was used is owed, the rest goes back.
+   * Settles the reservation: the used tokens are owed, the unused ones are returned to their pools.
    *
-   * <p>Usage beyond the reservation is not billed: nothing was set aside for it, so billing it
-   * could overspend the budget. The request path cuts such an answer off.
+   * <p>Usage beyond the reservation is not billed. No tokens were reserved for it, so billing it
+   * could overspend the budget; the request path truncates such an answer.
    *
-   * <p>Two pools may hold slices of one allotment. They owe one part together, because the ledger
-   * takes one bill per run and allotment.
+   * <p>Two pools may hold slices of one allotment. They are combined into one part of the bill,
+   * because the ledger accepts one bill per run and allotment.
    *
-   * @param usedTokens what the request used
-   * @return what is owed to each allotment; empty when nothing is, or when settled before
+   * @param usedTokens the number of tokens that the request used
+   * @return the parts owed to each allotment; empty when nothing is owed or the reservation was
+   *     already settled
    */
   public List<BillPart> settle(long usedTokens) {
     if (!settled.compareAndSet(false, true)) {
@@ -71,14 +72,17 @@
         .toList();
   }
 
-  /** Puts back what {@link #settle} found owed, for a run whose bill does not count. */
+  /**
+   * Returns the tokens that {@link #settle} found owed to their pools, for a run whose bill does
+   * not count.
+   */
   public void cancelBill() {
     for (Part part = owed.poll(); part != null; part = owed.poll()) {
       part.pool().put(part.tokens());
     }
   }
 
-  /** Ends the reservation of a request that did not run. */
+  /** Releases all tokens of a request that did not run. */
   public void release() {
     var unused = settle(0);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/SizingPolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/SizingPolicy.java
@@ -1,31 +1,32 @@
 package io.mothrill.core.budget;
 
-/** Decides how many tokens an allotment grows by, and how many it keeps. */
+/** Decides by how many tokens an allotment grows, and how many an idle account keeps. */
 public interface SizingPolicy {
 
   /**
-   * Decides how much to ask of the platform.
+   * Returns the number of tokens to request from the platform.
    *
-   * @param demand what the account lacks
-   * @param budget the budget as it stands
-   * @return tokens, at most what is free
+   * @param demand the demand of the account
+   * @param budget the current state of the budget
+   * @return tokens, at most the free tokens of the budget
    */
   long tokensToRequest(TokenDemand demand, BudgetRow budget);
 
   /**
-   * Decides whether a budget is so nearly spent that nothing is held ahead of need.
+   * Checks whether a budget is so nearly spent that no tokens are held ahead of need.
    *
-   * @param demand what the account lacks
-   * @param budget the budget as it stands
-   * @return true when each request asks the platform for itself, and returns what it did not use
+   * @param demand the demand of the account
+   * @param budget the current state of the budget
+   * @return true when each request gets its tokens from the platform and returns what it did not
+   *     use
    */
   boolean isScarce(TokenDemand demand, BudgetRow budget);
 
   /**
-   * Decides how much of an idle account to keep.
+   * Returns the number of tokens that an idle account keeps.
    *
-   * @param ratePerSecond tokens spent per second of late
-   * @return tokens above which the surplus is given back
+   * @param ratePerSecond the recent number of tokens spent per second
+   * @return the number of tokens above which the surplus is returned
    */
   long tokensToKeep(double ratePerSecond);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TokenDemand.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TokenDemand.java
@@ -1,13 +1,13 @@
 package io.mothrill.core.budget;
 
 /**
- * What an account lacks.
+ * The demand of an account for tokens.
  *
  * @param budget the budget's name
- * @param needTokens the least that helps the requests that wait
- * @param ratePerSecond tokens spent per second of late
- * @param availableTokens what the account still has
- * @param platformUnreachable whether the platform, or someone asked before, did not answer
+ * @param needTokens the smallest number of tokens that helps the waiting requests
+ * @param ratePerSecond the recent number of tokens spent per second
+ * @param availableTokens the tokens that the account still has
+ * @param platformUnreachable whether the platform or a source asked before did not respond
  */
 public record TokenDemand(
     String budget,
@@ -17,10 +17,10 @@
     boolean platformUnreachable) {
 
   /**
-   * Notes whether someone asked before did not answer.
+   * Returns a copy that records whether a source asked before was unreachable.
    *
-   * @param away true when that is so
-   * @return a copy
+   * @param away true when a source was unreachable
+   * @return the copy
    */
   public TokenDemand withPlatformUnreachable(boolean away) {
     return new TokenDemand(budget, needTokens, ratePerSecond, availableTokens, away);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TokenPool.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TokenPool.java
@@ -5,10 +5,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tokens of one allotment that this instance alone may spend.
+ * Tokens of one allotment that only this instance may spend.
  *
- * <p>Tokens leave a pool before anyone else can hold them and come back only from whoever took
- * them, so no token is ever in two places.
+ * <p>Tokens are removed from a pool before another instance can hold them, and only the instance
+ * that took them can return them. A token is therefore never in two places.
  */
 final class TokenPool {
 
@@ -31,13 +31,14 @@
   }
 
   /**
-   * Says how long the pool may be spent from.
+   * Returns the time until which tokens may be taken from the pool.
    *
-   * <p>Failure: a holder that is paused or cut off goes on spending after its allotment was closed
-   * and granted to others. Symptom: more is spent than was paid. Every holder counts the lease from
-   * when it <em>sent</em> its last successful renewal, so its own end always comes first.
+   * <p>A holder that is paused or partitioned could otherwise keep spending after its allotment was
+   * closed and granted to others, and more would be spent than was paid. Every holder counts the
+   * lease from the time at which it <em>sent</em> its last successful renewal, so by its own clock
+   * the lease always ends before it can be closed.
    *
-   * @return the time on the timer service after which nothing more may be taken
+   * @return a time of the timer service, in milliseconds, after which no tokens may be taken
    */
   long spendUntilMs() {
     return spendUntilMs.getAsLong();
@@ -47,7 +48,7 @@
     return nowMs < spendUntilMs();
   }
 
-  /** Takes as many tokens as there are, up to a limit. */
+  /** Takes the available tokens up to a limit. */
   long takeUpTo(long limitTokens) {
     while (true) {
       long seen = availableTokens.get();
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Counts a reservation that may put tokens back, so that the pool is not forgotten. */
+  /** Counts a reservation that may return tokens, so that the pool is not removed meanwhile. */
   void beginUse() {
     uses.incrementAndGet();
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TokenSource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TokenSource.java
@@ -2,25 +2,25 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Somewhere an account can get tokens from: the platform, or another instance. */
+/** A source from which an account can get tokens: the platform or another instance. */
 public interface TokenSource {
 
-  /** How a source answered. */
+  /** The result of a request to a source. */
   enum Result {
-    /** Tokens were added to the account. */
+    /** The source added tokens to the account. */
     ADDED,
-    /** The source was reached and has none to give. */
+    /** The source was reached and has no tokens to give. */
     EMPTY,
-    /** The source was not reached, or did not answer. */
+    /** The source was not reached or did not respond. */
     UNREACHABLE
   }
 
   /**
-   * Asks for tokens and adds what comes to the account.
+   * Requests tokens and adds those received to the account.
    *
    * @param account the account
-   * @param demand what it lacks
-   * @return how the source answered; never fails
+   * @param demand the demand of the account
+   * @return the result; never fails
    */
   CompletableFuture<Result> requestTokens(BudgetAccount account, TokenDemand demand);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TransferReplyCache.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TransferReplyCache.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Remembers what was answered to a transfer, so that asking again moves no further tokens. */
+/** Caches the replies to transfers, so that a repeated request does not move more tokens. */
 final class TransferReplyCache<T> {
 
   private final Map<String, Entry<T>> answers = new LinkedHashMap<>();
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetException.java
@@ -2,7 +2,7 @@
 
 import io.mothrill.core.error.ErrorMessage;
 
-/** Tokens could not be reserved. */
+/** Thrown when tokens could not be reserved. */
 public final class BudgetException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -17,9 +17,9 @@
   }
 
   /**
-   * The budget has no room.
+   * Creates the error for a budget that has too few tokens left.
    *
-   * @param message says which budget
+   * @param message the message, which contains the budget's name
    * @return the error
    */
   public static BudgetException exhausted(BudgetExhausted message) {
@@ -27,9 +27,10 @@
   }
 
   /**
-   * It is not known whether the budget has room, because its tokens are out of reach.
+   * Creates the error for a budget whose tokens are out of reach, so that it is unknown whether
+   * enough are left.
    *
-   * @param message says which budget
+   * @param message the message, which contains the budget's name
    * @return the error
    */
   public static BudgetException outOfReach(BudgetOutOfReach message) {
@@ -37,7 +38,7 @@
   }
 
   /**
-   * Gives the code that callers may rely on.
+   * Returns the error code, which is stable for callers.
    *
    * @return the code
    */
@@ -46,9 +47,9 @@
   }
 
   /**
-   * Says whether the budget is known to have no room.
+   * Checks whether the budget is known to have too few tokens left.
    *
-   * @return false when its tokens are only out of reach
+   * @return false when its tokens are out of reach
    */
   public boolean isExhausted() {
     return exhausted;
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetExhausted.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetExhausted.java
@@ -2,14 +2,14 @@
 
 import io.mothrill.core.error.ErrorMessage;
 
-/** A budget has no room for a request. */
+/** The message for a budget that has too few tokens left for a request. */
 public record BudgetExhausted(String text) implements ErrorMessage {
 
   /**
    * Creates the message.
    *
    * @param budget the budget's name
-   * @param needTokens what the request may use at most
+   * @param needTokens the maximum number of tokens that the request may use
    * @return the message
    */
   public static BudgetExhausted budgetExhausted(String budget, long needTokens) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetOutOfReach.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/error/BudgetOutOfReach.java
@@ -2,14 +2,14 @@
 
 import io.mothrill.core.error.ErrorMessage;
 
-/** The tokens of a budget cannot be reached for now. */
+/** The message for a budget whose tokens are currently out of reach. */
 public record BudgetOutOfReach(String text) implements ErrorMessage {
 
   /**
    * Creates the message.
    *
    * @param budget the budget's name
-   * @param needTokens what the request may use at most
+   * @param needTokens the maximum number of tokens that the request may use
    * @return the message
    */
   public static BudgetOutOfReach budgetOutOfReach(String budget, long needTokens) {
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -9,8 +9,8 @@
 
   private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
-  // The platform grants tokens, but its answer is lost. The instance must find them when it asks
-  // again, and must not count them twice.
+  // Guards against counting a grant twice, or losing it, when the response of the platform was
+  // lost: the next request must find the granted tokens.
   @Test
   void countsGrantOnceWhenItsAnswerWasLost() {
     // GIVEN
@@ -27,8 +27,9 @@
     assertThat(fixture.budgetRow().allottedTokens()).isEqualTo(inHandTokens);
   }
 
-  // Tokens are given back, but the answer is lost. Put back into the pool at once, they could be
-  // held here and granted to another instance. They stay out until the row has told.
+  // Guards against holding tokens twice when the response to a return was lost: if they were added
+  // back to the pool at once, they could be held here and granted to another instance. They stay
+  // out of the pool until the row shows the outcome.
   @Test
   void holdsNoTokenTwiceWhenTheAnswerToReturnWasLost() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -53,9 +53,9 @@
     assertThat(errorOf(refused).isExhausted()).isFalse();
   }
 
-  // The caller's request joins while the platform is being asked for less than it needs. Were it
-  // refused with that round, it would be a false refusal: the budget has room. It gets a round of
-  // its own.
+  // Guards against a wrong refusal of a request that joins while the platform is being asked for
+  // fewer tokens than it needs. The budget has enough tokens, so the request gets a round of its
+  // own.
   @Test
   void isNotRefusedByRoundThatStartedBeforeIt() {
     // GIVEN
@@ -71,9 +71,9 @@
     assertThat(late.join().tokens()).isEqualTo(5_000);
   }
 
-  // The caller's request waits for the platform. What the platform grants for it lies in the pool
-  // for a moment, and a request that comes just then takes it. Were the first refused with that
-  // round, it would hear that the budget is spent although nearly all of it is left.
+  // Guards against a wrong refusal when another request takes the tokens that were granted for a
+  // waiting one: granted tokens are in the pool for a moment, where any request can take them. The
+  // waiting request would be told that the budget is exhausted although nearly all of it is left.
   @Test
   void isNotRefusedWhenAnotherRequestTookWhatWasGrantedForIt() {
     // GIVEN
@@ -97,9 +97,9 @@
     assertThat(served.tokens()).isEqualTo(600);
   }
 
-  // Of a nearly spent budget, what a request did not use is returned at once, and loans are handed
-  // back. While another request gathers tokens here, that would take away what it has found: it is
-  // refused although the budget has room.
+  // Guards against returning tokens that were collected for a waiting request: when another request
+  // of a scarce budget is settled, unused tokens and loans are returned at once. The waiting
+  // request would then be refused although the budget has enough tokens.
   @Test
   void keepsTokensCollectedForOneRequestWhenAnotherIsSettled() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
-/** One instance's budgets before a table in memory, without peers. */
+/** The budgets of one instance without peers, with an in-memory table. */
 final class BudgetFixture {
 
   static final String BUDGET = "branch";
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LeaseTest.java
@@ -32,8 +32,9 @@
     assertThat(fixture.lease.spendUntilMs()).isEqualTo(sentAtMs + 600_000 - 60_000);
   }
 
-  // An instance sleeps past its lease; others close it and remove its row. When it wakes up it must
-  // not renew the lease as if it were new: what it held was granted to others.
+  // Guards against renewing a closed lease as a new one: an instance is paused beyond its lease,
+  // others close the lease and remove its row, and its allotments have been granted to others when
+  // it resumes.
   @Test
   void staysClosedWhenItsRowWasRemoved() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
@@ -32,7 +32,8 @@
     return new Auditor(fixture.table).audit().join();
   }
 
-  // The batch is written, but its answer is lost. Written again, the request would be billed twice.
+  // Guards against billing a request twice when the batch was written but the response was lost and
+  // the batch is retried.
   @Test
   void writesBatchOnceWhenItsAnswerWasLost() {
     // GIVEN
@@ -48,8 +49,9 @@
     assertThat(audit().findings()).isEmpty();
   }
 
-  // Another instance believes the runner dead and posts its bill. The runner comes back and hands
-  // the same bill in for the first time, after its poster has read the other's batch.
+  // Guards against billing a request twice when another instance considers the runner crashed and
+  // posts its bill, and the runner then returns and adds the same bill for the first time, after
+  // its poster has read the batch of the other instance.
   @Test
   void dropsBillRecoveredBeforeItsRunnerReturned() {
     // GIVEN
@@ -69,8 +71,8 @@
     assertThat(audit().findings()).isEmpty();
   }
 
-  // The runner posts its bill and dies before it can say so. Whoever recovers it reads the ledger
-  // first and finds it.
+  // Guards against billing a request twice when the runner posts its bill and crashes before it can
+  // report that. The instance that recovers the bill reads the ledger first and finds it.
   @Test
   void doesNotRecoverBillThatWasPosted() {
     // GIVEN
@@ -87,8 +89,9 @@
     assertThat(fixture.allotmentRow().ledgerSeq()).isEqualTo(1);
   }
 
-  // An allotment is closed and its rest granted to others. A bill that comes then must not be
-  // written into it: paid tokens could be exceeded. It is set aside and named by the audit.
+  // Guards against overspending by a bill that arrives after its allotment was closed and the
+  // remaining tokens were granted to others. The bill is stored separately and reported by the
+  // audit.
   @Test
   void storesLateBillSeparatelyWhenAllotmentIsClosed() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
@@ -27,8 +27,8 @@
     assertThat(owed).containsExactly(new BillPart(OWN, 100));
   }
 
-  // Two slices of one allotment came to this instance. The ledger takes one bill per run and
-  // allotment, so two parts would lose one of them.
+  // Guards against losing a part of a bill when an instance holds two slices of one allotment: the
+  // ledger accepts one bill per run and allotment, so the parts must be combined.
   @Test
   void addsUpPartsOfTheSameAllotment() {
     // GIVEN
