--- a/mothrill-core/src/main/java/io/mothrill/core/range/ClaimRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/ClaimRegistry.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The claims of unrepeatable requests in a range, as far as they are not older than the window. */
+/** The claims of unrepeatable requests in a range, within their retention. */
 final class ClaimRegistry {
 
   private final Timers timers;
@@ -23,7 +23,7 @@
     return Optional.ofNullable(held.get(key)).map(StoredClaim::claim);
   }
 
-  /** Keeps a claim unless the key has one, and gives the claim that the key has now. */
+  /** Adds a claim unless the key already has one, and returns the claim that the key has then. */
   synchronized SoleClaim putIfAbsent(SoleClaim claim, boolean inTable) {
     StoredClaim kept =
         held.merge(
--- a/mothrill-core/src/main/java/io/mothrill/core/range/KeyRanges.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/KeyRanges.java
@@ -11,13 +11,14 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Divides callers' keys into ranges, and ranks the instances for each.
+ * Divides the keys of callers into ranges and ranks the instances for each range.
  *
- * <p>A caller's key may come back at any instance, so every instance finds the same range for it.
+ * <p>A retry with the same key may arrive at any instance, so every instance maps a key to the same
+ * range.
  */
 public final class KeyRanges {
 
-  /** How many ranges there are; each change of owner moves one of them. */
+  /** The number of ranges. Each change of owner moves one of them. */
   static final int COUNT = 256;
 
   private static final String PREFIX = "keys~";
@@ -25,10 +26,10 @@
   private KeyRanges() {}
 
   /**
-   * Finds the range of a key.
+   * Returns the range of a key.
    *
    * @param key the key
-   * @return the range's name
+   * @return the name of the range
    */
   public static String of(RequestKey key) {
     byte[] bytes = key.toString().getBytes(StandardCharsets.UTF_8);
@@ -39,14 +40,15 @@
     return IntStream.range(0, COUNT).mapToObj(number -> PREFIX + number).toList();
   }
 
-  /** Ranks instances for a range; the first is the owner to be. */
+  /** Ranks the instances for a range. The first one is the preferred owner. */
   static List<InstanceRecord> rank(String range, Membership view) {
     return RendezvousHash.rank(range, view.activeInstances());
   }
 
   /**
-   * Ranks the instances that may be the backup of a range owned here; those in the owner's failure
-   * domain come first, so that a domain that is cut off goes on deciding.
+   * Ranks the instances that may be the backup of a range owned by this instance. Those in the same
+   * failure domain come first, so that a failure domain that is partitioned from the others
+   * continues to decide.
    */
   static List<InstanceRecord> backups(String range, Membership view) {
     String domain = view.self().domain();
--- a/mothrill-core/src/main/java/io/mothrill/core/range/OwnedRange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/OwnedRange.java
@@ -39,12 +39,12 @@
   }
 
   /**
-   * Stops decisions while the range gets another backup.
+   * Pauses decisions while the backup of the range is replaced.
    *
-   * <p>Failure: a decision is made after the new backup was given what is decided, and before the
-   * row names it. Symptom: whoever takes the range over does not know, and a key is billed twice.
+   * <p>A decision made after the new backup received the content of the range, and before the row
+   * names that backup, would be unknown to the next owner, and a key would be billed twice.
    *
-   * @return false when it is stopped already
+   * @return false when decisions are already paused
    */
   boolean pause() {
     return paused.compareAndSet(false, true);
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
@@ -19,7 +19,9 @@
 import java.util.concurrent.CompletableFuture;
 import org.tinylog.Logger;
 
-/** Takes ranges over: fences the old owner, changes the row, and reads what was decided. */
+/**
+ * Acquires ranges: fences the previous owner, changes the row and reads the decisions made so far.
+ */
 final class RangeAcquirer {
 
   private static final int SCAN_ROWS = 1_000;
@@ -51,7 +53,7 @@
     return members.read().self().incarnation();
   }
 
-  /** Takes a range if it may be taken; only an instance with a lease may own one. */
+  /** Acquires a range if it is free. Only an instance with a valid lease may own a range. */
   CompletableFuture<Optional<OwnedRange>> tryAcquire(String range) {
     if (!lease.isValid()) {
       return none();
@@ -86,7 +88,10 @@
                     : acquireIfLeaseExpired(range, row, state));
   }
 
-  /** An owner without a backup decides alone, so nobody may follow it before its lease is over. */
+  /**
+   * Acquires a range that has no backup. An owner without a backup decides alone, so the range
+   * cannot be acquired before the lease of that owner has expired.
+   */
   private CompletableFuture<Optional<OwnedRange>> acquireWithoutBackup(
       String range, Row row, RangeRow state) {
     RangeContent nothing = new RangeContent(List.of(), List.of());
@@ -113,10 +118,11 @@
   }
 
   /**
-   * Takes a range whose owner and backup are both out of reach only when the owner's lease is over.
+   * Acquires a range only when the lease of the owner has expired, because neither the owner nor
+   * the backup can be reached.
    *
-   * <p>Both may be cut off together and go on deciding. The owner does so only under its lease, and
-   * a lease is closed only after it has run out.
+   * <p>Both may be in the same partition and continue to decide. The owner does so only under its
+   * lease, and a lease is closed only after it has expired.
    */
   private CompletableFuture<Optional<OwnedRange>> acquireIfLeaseExpired(
       String range, Row row, RangeRow state) {
@@ -147,7 +153,7 @@
               if (!written) {
                 return none();
               }
-              Logger.info("range={} epoch={} backup={} taken", range, next.epoch(), backup);
+              Logger.info("range acquired: range={} epoch={} backup={}", range, next.epoch(), backup);
               Row changed = new Row(row.key(), row.version() + 1, next.toCells());
               return load(new OwnedRange(range, changed, members, timers), content);
             });
@@ -157,7 +163,7 @@
     return CompletableFuture.completedFuture(false);
   }
 
-  /** Gives a new backup all that was decided, before the row names it. */
+  /** Sends all decisions to a new backup before the row names it. */
   CompletableFuture<Boolean> seedBackup(String range, RangeRow next, RangeContent content) {
     Optional<InstanceRecord> backup = members.read().find(next.backup());
     if (backup.isEmpty()) {
@@ -169,7 +175,7 @@
         .handle((reply, error) -> reply instanceof PeerMessage.Done);
   }
 
-  /** Reads the claims after the row has changed, so that none can be added unseen. */
+  /** Reads the claims after the row has changed, so that no claim can be added unnoticed. */
   private CompletableFuture<Optional<OwnedRange>> load(OwnedRange taken, RangeContent content) {
     taken.restore(content);
     return scan(taken, "").thenApply(nothing -> Optional.of(taken));
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
@@ -17,9 +17,10 @@
 /**
  * Acknowledges decisions for the owners of other ranges.
  *
- * <p>Failure: an owner is cut off and goes on deciding after another has taken its range. Symptom:
- * a ticket is called twice, or a key is billed twice. Once a range is fenced, this backup
- * acknowledges nothing more of that epoch; all that it had acknowledged goes to whoever fenced it.
+ * <p>An owner that is partitioned could continue to decide after another instance has acquired its
+ * range, and an unrepeatable request would run twice or a key would be billed twice. Once a range
+ * is fenced, this backup acknowledges no more decisions of that epoch, and everything that it had
+ * acknowledged is passed to the instance that fenced it.
  */
 final class RangeBackup {
 
@@ -58,7 +59,10 @@
     return CompletableFuture.completedFuture(message);
   }
 
-  /** A replacement at the same address knows nothing of what its predecessor acknowledged. */
+  /**
+   * Checks whether a message is for this incarnation. A replacement at the same address does not
+   * know what its predecessor acknowledged.
+   */
   private boolean isForThisIncarnation(String backup) {
     return members.read().self().incarnation().equals(backup);
   }
@@ -72,7 +76,7 @@
     return reply(new PeerMessage.Done());
   }
 
-  /** Keeps decisions, whether as a backup or as an owner that has lost its range. */
+  /** Stores decisions, either as a backup or as an owner that has lost its range. */
   synchronized void store(String range, RangeContent content) {
     Replica held = ranges.computeIfAbsent(range, name -> new Replica());
     long nowMs = timers.nowMs();
@@ -92,7 +96,10 @@
         : reply(new PeerMessage.Refused("another incarnation is meant"));
   }
 
-  /** Refuses the owner of an epoch from now on, and gives what was acknowledged. */
+  /**
+   * Fences the owner of an epoch, so that its decisions are refused, and returns what was
+   * acknowledged.
+   */
   synchronized RangeContent fence(String range, long epoch) {
     Replica held = ranges.computeIfAbsent(range, name -> new Replica());
     held.fencedEpoch = Math.max(held.fencedEpoch, epoch);
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeContent.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeContent.java
@@ -7,26 +7,26 @@
 import java.util.stream.Stream;
 
 /**
- * What is decided in a range.
+ * The decisions made in a range.
  *
- * @param claims claims of unrepeatable requests
+ * @param claims the claims of unrepeatable requests
  * @param runs the ends of runs that count
  */
 public record RangeContent(List<SoleClaim> claims, List<FinishRequest> runs) {
 
   private static final int MAX_ANSWER_BYTES = 4 * 1024 * 1024;
 
-  /** Takes copies of the lists. */
+  /** Copies the lists. */
   public RangeContent {
     claims = List.copyOf(claims);
     runs = List.copyOf(runs);
   }
 
   /**
-   * Adds what is decided elsewhere.
+   * Combines this content with other content.
    *
-   * @param other further content
-   * @return both together
+   * @param other the other content
+   * @return the combined content
    */
   public RangeContent and(RangeContent other) {
     return new RangeContent(
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Leaves out answers that would make a message too large; the decisions stay.
+   * Removes answers that would make a message too large. The decisions are retained.
    *
    * @return the content with the answers that fit
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
@@ -24,10 +24,11 @@
 import java.util.function.Predicate;
 
 /**
- * Asks the owner of a key's range, wherever that is.
+ * Sends requests about a key to the owner of its range, which may be any instance.
  *
- * <p>The instances are asked in the range's rank order. The first is the owner unless the fleet has
- * just changed; one that is asked and finds the owner gone takes the range over.
+ * <p>The instances are asked in the rank order of the range. The first one is the owner unless the
+ * fleet has just changed. An instance that is asked and finds the owner unreachable acquires the
+ * range.
  */
 public final class RangeCoordinator implements UnrepeatableClaims {
 
@@ -44,15 +45,15 @@
   private volatile long answerRetentionMs;
 
   /**
-   * Creates the authority and starts its timers.
+   * Creates the coordinator and starts its periodic maintenance.
    *
    * @param table the platform's table
-   * @param lease the lease that ranges are owned under
-   * @param members the fleet
-   * @param links the way to peers
-   * @param dispatcher where requests from peers are served
-   * @param timers the time
-   * @param retention how long decisions are remembered
+   * @param lease the lease under which ranges are owned
+   * @param members the current membership
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of peer requests are registered
+   * @param timers the clock and timer service
+   * @param retention the retention of decisions and answers
    */
   public RangeCoordinator(
       TableService table,
@@ -96,10 +97,11 @@
   }
 
   /**
-   * Keeps answers for a shorter time while there are too many of them.
+   * Shortens the retention of answers while they exceed their size limit.
    *
-   * <p>Failure: large answers come faster than their window ends. Symptom: the instance runs out of
-   * memory. Only answers go early; which run of a key counts is remembered all the same.
+   * <p>Large answers that arrive faster than their retention ends would otherwise exhaust the
+   * memory of the instance. Only answers are evicted early; the decision which run of a key counts
+   * is retained.
    */
   private void adaptAnswerRetention() {
     long keptBytes =
@@ -119,7 +121,7 @@
         .toList();
   }
 
-  /** Asks one candidate after the other until one of them decides. */
+  /** Asks the candidates one after another until one of them decides. */
   private <T> CompletableFuture<Optional<T>> askInOrder(
       List<InstanceRecord> candidates,
       Function<InstanceRecord, CompletableFuture<T>> ask,
@@ -137,10 +139,10 @@
   }
 
   /**
-   * Asks whether a request may run.
+   * Requests permission to run a request.
    *
    * @param request the claim
-   * @return the owner's answer; empty when no owner can be reached
+   * @return the reply of the owner; empty when no owner can be reached
    */
   public CompletableFuture<Optional<ClaimReply>> claimRun(ClaimRequest request) {
     Optional<String> issuer = GeneratedKey.issuerOf(request.key());
@@ -158,7 +160,10 @@
         reply -> reply.verdict() != ClaimReply.Verdict.NOT_OWNER);
   }
 
-  /** Only the incarnation that made a key knows what became of its request. */
+  /**
+   * Asks the incarnation that generated the key, because no other instance knows the outcome of its
+   * request.
+   */
   private CompletableFuture<Optional<ClaimReply>> askIssuer(String issuer, ClaimRequest request) {
     ClaimReply unknown = new ClaimReply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "", Optional.empty());
     Membership view = members.read();
@@ -174,7 +179,7 @@
   }
 
   /**
-   * Notes a run whose key was minted here.
+   * Records a run whose key was generated here.
    *
    * @param claim the run
    */
@@ -183,7 +188,7 @@
   }
 
   /**
-   * Notes the end of a run whose key was minted here.
+   * Records the end of a run whose key was generated here.
    *
    * @param finish the end of the run
    */
@@ -209,10 +214,10 @@
   }
 
   /**
-   * Asks whether a run that has ended counts.
+   * Requests a decision whether a run that has ended counts.
    *
    * @param request the end of the run
-   * @return the owner's answer; held when no owner can be reached
+   * @return the verdict of the owner; {@code NOT_OWNER} when no owner can be reached
    */
   public CompletableFuture<FinishReply.Verdict> finish(FinishRequest request) {
     return askInOrder(
@@ -294,7 +299,7 @@
   }
 
   /**
-   * Tells the owners of keys that bills are in the ledger.
+   * Notifies the owners of keys that bills have been written to the ledger.
    *
    * @param keys the keys of the runs that were billed
    */
@@ -321,7 +326,7 @@
   }
 
   /**
-   * Notes that bills of keys in ranges owned here are in the ledger.
+   * Records that bills of keys in ranges owned by this instance have been written to the ledger.
    *
    * @param keys the keys of the runs that were billed
    */
@@ -335,7 +340,8 @@
   }
 
   /**
-   * Lists runs in the ranges owned here whose runner is gone and whose bill may not be posted.
+   * Returns the runs in ranges owned by this instance whose runner has left the fleet and whose
+   * bill may not be posted.
    *
    * @return the ends of those runs
    */
@@ -343,7 +349,7 @@
     return owner.all().stream().flatMap(range -> range.runs().orphanedRuns().stream()).toList();
   }
 
-  /** Leaves all ranges to whoever needs them next. */
+  /** Releases all ranges, so that other instances can acquire them. */
   public void releaseAll() {
     owner.maintain();
     owner.releaseAll();
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -63,7 +63,7 @@
     this.ownBackup = ownBackup;
   }
 
-  /** Gives a range that is owned here already, or tries to take it. */
+  /** Returns a range that is owned already, or tries to acquire it. */
   CompletableFuture<Optional<OwnedRange>> acquire(String range) {
     OwnedRange held = find.get(range);
     if (held != null) {
@@ -86,7 +86,7 @@
     return attempt;
   }
 
-  /** Gives a range only if it is owned here already. */
+  /** Returns a range only if it is owned already. */
   Optional<OwnedRange> find(String range) {
     return Optional.ofNullable(find.get(range));
   }
@@ -116,7 +116,10 @@
             });
   }
 
-  /** Asks the backup to acknowledge; an owner that has none decides alone, under its lease. */
+  /**
+   * Requests an acknowledgement from the backup. An owner without a backup decides alone, under its
+   * lease.
+   */
   private CompletableFuture<Boolean> replicate(OwnedRange range, RangeContent content) {
     RangeRow state = range.state();
     if (!lease.isValid() || range.isPaused()) {
@@ -142,10 +145,10 @@
   }
 
   /**
-   * Gives a range up, because it was taken by another or may have been.
+   * Relinquishes a range, because another instance has acquired it or may have done so.
    *
-   * <p>What was decided stays decided, whoever owns the range, so it is kept for the case that the
-   * range is taken here again.
+   * <p>Decisions remain valid whichever instance owns the range, so they are stored in case this
+   * instance acquires the range again.
    */
   private void relinquish(OwnedRange range) {
     if (find.remove(range.name(), range)) {
@@ -155,7 +158,7 @@
     }
   }
 
-  /** Grants the claim of an unrepeatable request, or says that its key has one. */
+  /** Grants the claim of an unrepeatable request, or returns that its key already has one. */
   CompletableFuture<Outcome> grant(OwnedRange range, SoleClaim claim) {
     Optional<SoleClaim> known = range.claims().find(claim.key());
     if (known.isPresent()) {
@@ -184,7 +187,10 @@
     return Outcome.UNSAFE;
   }
 
-  /** While the platform is away a claim counts when the backup has acknowledged it. */
+  /**
+   * Grants a claim while the platform is unreachable. It counts once the backup has acknowledged
+   * it.
+   */
   private CompletableFuture<Outcome> grantWithBackup(OwnedRange range, SoleClaim claim) {
     SoleClaim held = range.claims().putIfAbsent(claim, false);
     if (!held.equals(claim)) {
@@ -194,7 +200,7 @@
         .thenApply(yes -> yes ? Outcome.GRANTED : Outcome.UNSAFE);
   }
 
-  /** Gives up a claim whose run surely did not send the request. */
+  /** Releases a claim whose run certainly did not send the request. */
   void release(OwnedRange range, SoleClaim claim) {
     if (range.claims().find(claim.key()).filter(claim::equals).isEmpty()) {
       return;
@@ -214,8 +220,9 @@
   }
 
   /**
-   * Writes what was granted without the platform, names new backups for those that are gone, and
-   * takes ranges ahead of need, because none can be taken while the platform is away.
+   * Writes claims that were granted while the platform was unreachable, replaces backups that have
+   * left, and acquires ranges ahead of need, because none can be acquired while the platform is
+   * unreachable.
    */
   void maintain() {
     all().forEach(this::maintain);
@@ -246,7 +253,7 @@
     replaceBackup(range);
   }
 
-  /** Lists the ranges in whose rank order this is the first reachable instance. */
+  /** Returns the ranges for which this instance is the first reachable one in rank order. */
   private List<String> firstRanges(Membership view) {
     RankedView known = ranked;
     if (!view.equals(known.view())) {
@@ -258,7 +265,10 @@
     return known.first();
   }
 
-  /** Ranking all ranges costs more the larger the fleet is, so it is done once a view. */
+  /**
+   * Caches the ranking per membership view, because the cost of ranking all ranges grows with the
+   * fleet.
+   */
   private record RankedView(Membership view, List<String> first) {}
 
   private static boolean isFirst(String range, Membership view) {
@@ -303,7 +313,7 @@
     return table.write(transaction);
   }
 
-  /** A range whose backup has left the fleet gets another one, or none when there is no other. */
+  /** Replaces a backup that has left the fleet, with no backup when there is no other instance. */
   private void replaceBackup(OwnedRange range) {
     Membership view = members.read();
     RangeRow state = range.state();
@@ -338,8 +348,8 @@
   /**
    * Changes the row of an owned range.
    *
-   * <p>Decisions go to the backup that the row names. While the change is under way there must be
-   * none, because the old backup would take them and the new one would not know.
+   * <p>Decisions are sent to the backup that the row names. None may be made while the change is in
+   * flight, because the old backup would acknowledge them and the new one would not know them.
    */
   private void changeRow(OwnedRange range, RangeRow next) {
     relinquish(range);
@@ -370,7 +380,10 @@
         && known.outcome() == PlatformException.Outcome.NOT_APPLIED;
   }
 
-  /** Leaves all ranges to whoever needs them next; the backup keeps what was decided. */
+  /**
+   * Releases all ranges, so that other instances can acquire them. The backups retain the
+   * decisions.
+   */
   void releaseAll() {
     all().forEach(this::releaseAll);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeRetention.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeRetention.java
@@ -1,10 +1,10 @@
 package io.mothrill.core.range;
 
 /**
- * How long what was decided in a range is remembered.
+ * The retention of answers and decisions in a range.
  *
- * @param answerMs how long an answer is kept for retries
- * @param decisionMs how long it is remembered which run of a key counts
- * @param maxAnswerBytes how much all kept answers may take up together
+ * @param answerMs the time for which an answer is stored for retries
+ * @param decisionMs the time for which the decision is stored which run of a key counts
+ * @param maxAnswerBytes the maximum total size of stored answers
  */
 public record RangeRetention(long answerMs, long decisionMs, long maxAnswerBytes) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeRow.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeRow.java
@@ -6,11 +6,11 @@
 import io.mothrill.core.request.RequestKey;
 
 /**
- * A range of keys as the platform's table holds it.
+ * A range of keys as stored in the platform's table.
  *
- * @param owner the incarnation that decides; empty when it has left
- * @param backup the incarnation that acknowledges; empty when there is none
- * @param epoch grows with every change
+ * @param owner the incarnation that decides; empty when it has released the range
+ * @param backup the incarnation that acknowledges decisions; empty when there is none
+ * @param epoch a number that increases with every change
  */
 record RangeRow(String owner, String backup, long epoch) {
 
@@ -35,7 +35,7 @@
     return Cells.empty().with("owner", owner).with("backup", backup).with("epoch", epoch);
   }
 
-  /** Gives what the keys of a range's claims begin with. */
+  /** Returns the prefix of the keys under which the claims of a range are stored. */
   static String prefix(String range) {
     return range + "/";
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the owner of a range knows of the runs of its keys.
+ * The runs of the keys of a range, as known to its owner.
  *
- * <p>A run that another one has replaced is told so when it ends, and its bill is dropped, so that
- * one key is billed once however many runs it took.
+ * <p>A run that was superseded by another one learns this when it ends, and its bill is dropped. A
+ * key is therefore billed once, regardless of the number of its runs.
  */
 final class RunRegistry {
 
@@ -32,13 +32,13 @@
     this.timers = timers;
   }
 
-  /** How far the decision about a key has come. */
+  /** The state of the decision about a key. */
   private enum Phase {
-    /** A run goes on. */
+    /** A run is in flight. */
     RUNNING,
-    /** A run has ended, and the backup has not acknowledged yet that it counts. */
+    /** A run has ended and the backup has not yet acknowledged that it counts. */
     DECIDING,
-    /** It is decided that the run counts. */
+    /** The decision that the run counts has been made. */
     DECIDED
   }
 
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Says what the runner of a claim has to do, and notes its run when it is to run. */
+  /** Returns the verdict on a claim, and records the run when it may run. */
   ClaimReply claim(ClaimRequest claim) {
     ClaimReply[] reply = new ClaimReply[1];
     entries.compute(
@@ -63,7 +63,10 @@
     return reply[0];
   }
 
-  /** Answers a retry under a key whose first run was noted here; what is not known never runs. */
+  /**
+   * Answers a retry under a generated key whose first run was recorded here. An unknown key is
+   * never run.
+   */
   ClaimReply claimGenerated(ClaimRequest claim) {
     Entry held = entries.get(claim.key());
     return held == null
@@ -111,17 +114,19 @@
         : reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "");
   }
 
-  /** A runner that does not answer may still run; its result will not count. */
+  /**
+   * Checks whether a runner is unreachable. It may still be running, but its result will not count.
+   */
   private boolean isRunnerUnreachable(String runner) {
     Membership view = members.read();
     return view.find(runner).map(found -> !view.isReachable(found)).orElse(true);
   }
 
   /**
-   * Takes the end of a run.
+   * Records the end of a run.
    *
-   * @return confirmed when it was decided before that this run counts, superseded when another one
-   *     counts, held when the backup has to be asked first
+   * @return confirmed when it was already decided that this run counts, superseded when another run
+   *     counts, held when the backup has to acknowledge it first
    */
   FinishReply.Verdict finish(FinishRequest finish) {
     FinishReply.Verdict[] verdict = new FinishReply.Verdict[1];
@@ -135,7 +140,10 @@
     return verdict[0];
   }
 
-  /** The run that ends first counts: its caller has an answer, the other one may still fail. */
+  /**
+   * The run that ends first counts, because its caller has an answer while the other run may still
+   * fail.
+   */
   private static FinishReply.Verdict verdictOnEnd(Entry held, FinishRequest finish) {
     if (canDecide(held, finish)) {
       boolean decided = held != null && held.phase() == Phase.DECIDED;
@@ -153,12 +161,15 @@
         || isUnknownOutcome(held);
   }
 
-  /** A run that may have failed is not billed, so it cannot stand in the way of one that is. */
+  /**
+   * Checks whether the recorded run has an unknown outcome. Such a run is not billed, so it does
+   * not prevent another run from counting.
+   */
   private static boolean isUnknownOutcome(Entry held) {
     return held.finish().filter(finish -> finish.bill().isEmpty()).isPresent();
   }
 
-  /** Says whether a run is the one that is being decided about. */
+  /** Checks whether the decision about this run is pending. */
   boolean isPending(FinishRequest finish) {
     Entry held = entries.get(finish.key());
     return held != null && held.isRunBy(finish.requestId()) && held.phase() == Phase.DECIDING;
@@ -170,13 +181,16 @@
     return new Entry(claim, Optional.of(finish), Phase.DECIDING, false, timers.nowMs());
   }
 
-  /** A minted key is not claimed before it runs; its record begins at its end. */
+  /**
+   * Creates a claim from the end of a run, because a generated key is not claimed before it runs
+   * and its record starts with the end of the run.
+   */
   private static ClaimRequest claimOf(FinishRequest finish) {
     return new ClaimRequest(
         finish.key(), finish.runner(), finish.requestId(), finish.fingerprint(), true);
   }
 
-  /** Takes up what was decided, here or under an earlier owner. */
+  /** Records a decision made here or under an earlier owner. */
   void recordDecision(FinishRequest finish) {
     entries.compute(
         finish.key(),
@@ -188,7 +202,9 @@
         });
   }
 
-  /** Ends a run that failed: unless its outcome must be kept, the next try may run. */
+  /**
+   * Records the failure of a run. The next attempt may run unless the outcome has to be retained.
+   */
   void recordFailure(FinishRequest finish) {
     entries.computeIfPresent(
         finish.key(),
@@ -204,14 +220,17 @@
         });
   }
 
-  /** Notes that a run's bill is in the ledger. */
+  /** Records that the bill of a run has been written to the ledger. */
   void markPosted(RequestKey key) {
     entries.computeIfPresent(
         key,
         (same, held) -> new Entry(held.claim(), held.finish(), held.phase(), true, held.atMs()));
   }
 
-  /** Lists decided runs whose runner is gone and whose bill is not known to be in the ledger. */
+  /**
+   * Returns decided runs whose runner has left the fleet and whose bill is not known to be in the
+   * ledger.
+   */
   List<FinishRequest> orphanedRuns() {
     Membership view = members.read();
     return entries.values().stream()
@@ -221,7 +240,7 @@
         .toList();
   }
 
-  /** Lists the ends of runs about which the backup has to be asked again. */
+  /** Returns the ends of runs for which the backup has to be asked again. */
   List<FinishRequest> pendingDecisions() {
     return entries.values().stream()
         .filter(entry -> entry.phase() == Phase.DECIDING)
@@ -229,7 +248,7 @@
         .toList();
   }
 
-  /** Lists what is decided, newest first. */
+  /** Returns the decided runs, newest first. */
   List<FinishRequest> decidedRuns() {
     return entries.values().stream()
         .filter(entry -> entry.phase() == Phase.DECIDED)
@@ -238,7 +257,7 @@
         .toList();
   }
 
-  /** Drops old answers first, and in the end the decisions. */
+  /** Evicts answers after their retention, and decisions after a longer one. */
   void evictExpired(long answerMs, long decisionMs) {
     long nowMs = timers.nowMs();
     entries.replaceAll((key, held) -> nowMs - held.atMs() > answerMs ? withoutAnswer(held) : held);
@@ -261,7 +280,7 @@
         held.atMs());
   }
 
-  /** Adds up the answers that are kept. */
+  /** Returns the total size of the stored answers in bytes. */
   long answerBytes() {
     return entries.values().stream()
         .flatMap(held -> held.finish().stream())
--- a/mothrill-core/src/main/java/io/mothrill/core/range/SoleClaim.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/SoleClaim.java
@@ -3,9 +3,9 @@
 import io.mothrill.core.request.RequestKey;
 
 /**
- * The claim of one run to be the only one of its request.
+ * A claim that only one run of a request may be sent.
  *
  * @param key the request key
- * @param requestId the run's id
+ * @param requestId the id of the run
  */
 public record SoleClaim(RequestKey key, String requestId) {}
--- a/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/range/RangeOwnerTest.java
@@ -77,9 +77,8 @@
         .inOrder();
   }
 
-  // An owner gives a new backup what is decided, and then names it in the row. A decision in
-  // between
-  // would be unknown to whoever takes the range over, and the key would be billed twice.
+  // Guards against billing a key twice: a decision made between sending the content of a range to a
+  // new backup and naming that backup in the row would be unknown to the next owner.
   @Test
   void decidesNothingWhileItsBackupChanges() {
     // GIVEN
@@ -97,8 +96,8 @@
     assertThat(range.state().backup()).isEqualTo(PEER.incarnation());
   }
 
-  // Another instance has fenced the backup and taken the range. The old owner is told so by the
-  // backup's refusal, and must not confirm anything.
+  // Guards against confirmations by a previous owner: another instance has fenced the backup and
+  // acquired the range, and the refusal of the backup shows this to the previous owner.
   @Test
   void relinquishesRangeWhenItsBackupRefuses() {
     // GIVEN
