--- a/mothrill-core/src/main/java/io/mothrill/core/drain/DrainController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/DrainController.java
@@ -8,14 +8,15 @@
 import org.tinylog.Logger;
 
 /**
- * Takes an instance out of service stage by stage.
+ * Takes an instance out of service in stages.
  *
- * <p>Failure: the process stops while the balancer still sends to it. Symptom: callers are cut off.
- * Readiness fails first and requests are still served until the balancer had time to notice; only
- * then are new ones refused, and the process exits when the last one under way has ended.
+ * <p>If the process stopped while the load balancer still sends requests to it, callers would be
+ * disconnected. Readiness therefore fails first, and requests are still served until the load
+ * balancer has had time to notice. Only then are new requests refused, and the process exits when
+ * the last request in flight has ended.
  *
  * <p>The order of stages follows "Shutdown &amp; fleets" of the forze documentation: announce,
- * drain while serving, tear down.
+ * drain while serving, shut down.
  */
 public final class DrainController {
 
@@ -31,10 +32,10 @@
   /**
    * Creates the controller.
    *
-   * @param stage where the stage is published
-   * @param timers the time
-   * @param settings how long the stages take
-   * @param work what is done in them
+   * @param stage the published value of the stage
+   * @param timers the clock and timer service
+   * @param settings the durations of the stages
+   * @param work the work of each stage
    */
   public DrainController(
       PublishedValue<DrainStage> stage, Timers timers, DrainSettings settings, DrainWork work) {
@@ -45,7 +46,7 @@
   }
 
   /**
-   * Begins to leave; asking again changes nothing.
+   * Starts the drain. Calling it again has no effect.
    *
    * @return completes when the process may exit
    */
@@ -82,7 +83,7 @@
             () -> {
               boolean late = timers.nowMs() >= latestMs;
               if (late && !condition.getAsBoolean()) {
-                Logger.warn("drain stage {} ran out of time", stage.read());
+                Logger.warn("drain stage {} timed out", stage.read());
               }
               if (late || condition.getAsBoolean()) {
                 pendingCheck.cancel();
--- a/mothrill-core/src/main/java/io/mothrill/core/drain/DrainSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/DrainSettings.java
@@ -1,16 +1,18 @@
 package io.mothrill.core.drain;
 
 /**
- * How long the stages of a drain take.
+ * The durations of the stages of a drain.
  *
- * @param announceMs how long the balancer needs to notice that readiness fails
- * @param finishMs how long requests under way may take; at least the longest request's timeout
- * @param handOverMs how long the hand-over may take, for example while the platform is down
+ * @param announceMs the time that the load balancer needs to notice that readiness fails
+ * @param finishMs the longest time for requests in flight to end; at least the timeout of the
+ *     longest request
+ * @param handOverMs the longest time for the hand-over, for example while the platform is
+ *     unreachable
  */
 public record DrainSettings(long announceMs, long finishMs, long handOverMs) {
 
   /**
-   * Gives the settings that suit both deployments.
+   * Returns the default settings for both deployments.
    *
    * @return three seconds, ten minutes, ten seconds
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/drain/DrainStage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/DrainStage.java
@@ -1,22 +1,25 @@
 package io.mothrill.core.drain;
 
-/** How far an instance has come on its way out. */
+/** The stages in which an instance leaves the fleet. */
 public enum DrainStage {
-  /** Serves. */
+  /** The instance serves requests. */
   SERVING,
-  /** Has announced that it leaves; still takes what the balancer sends until it has noticed. */
+  /**
+   * The instance has announced that it is leaving. It still accepts requests until the load
+   * balancer has noticed.
+   */
   ANNOUNCED,
-  /** Refuses new requests as not run; those under way go on. */
+  /** New requests are refused as not run; requests in flight continue. */
   FINISHING,
-  /** Returns its tokens, posts its bills and hands over its records. */
+  /** The instance returns its tokens, posts its bills and hands over its records. */
   HANDING_OVER,
-  /** May exit. */
+  /** The process may exit. */
   DONE;
 
   /**
-   * Says whether new requests are refused.
+   * Checks whether new requests are refused.
    *
-   * @return true once the balancer had time to notice
+   * @return true once the load balancer has had time to notice
    */
   public boolean refusesNew() {
     return compareTo(FINISHING) >= 0;
--- a/mothrill-core/src/main/java/io/mothrill/core/drain/DrainWork.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/DrainWork.java
@@ -1,15 +1,15 @@
 package io.mothrill.core.drain;
 
-/** What an instance does in the stages of its drain. */
+/** The work that an instance does in the stages of its drain. */
 public interface DrainWork {
 
-  /** Tells the platform and the peers that the instance is leaving. */
+  /** Announces to the platform and the peers that the instance is leaving. */
   void announce();
 
   /**
-   * Says whether no request is under way.
+   * Checks whether no request is in flight.
    *
-   * @return true when nothing would be cut off
+   * @return true when no request would be interrupted
    */
   boolean isIdle();
 
@@ -17,7 +17,7 @@
   void handOver();
 
   /**
-   * Says whether everything was handed over.
+   * Checks whether the hand-over is complete.
    *
    * @return true when the process holds nothing that would be lost
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/drain/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/drain/package-info.java
@@ -1,2 +1,2 @@
-/** Leaving without cutting off a request. */
+/** Graceful shutdown of an instance without interrupting a request. */
 package io.mothrill.core.drain;
--- a/mothrill-core/src/main/java/io/mothrill/core/node/Node.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/Node.java
@@ -41,7 +41,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One instance without its sockets: every decision, put together from ports.
+ * An instance without its network layer: all components that decide, connected through ports.
  *
  * <pre>{@code
  * Node node = new Node(self, ports, NodeSettings.standard(), new MetricRegistry());
@@ -79,12 +79,12 @@
   private final DrainController drain;
 
   /**
-   * Puts a node together and starts its timers.
+   * Creates a node and starts its timers.
    *
-   * @param self the instance as it describes itself
-   * @param ports what it reaches the world through
-   * @param settings how it decides
-   * @param metrics counts what happens
+   * @param self the record of this instance
+   * @param ports the external services that it uses
+   * @param settings the settings
+   * @param metrics the metric registry
    */
   public Node(InstanceRecord self, NodePorts ports, NodeSettings settings, MetricRegistry metrics) {
     this.ports = ports;
@@ -240,9 +240,9 @@
   }
 
   /**
-   * Makes an id that no other one equals.
+   * Creates a unique id.
    *
-   * @param random where it comes from
+   * @param random the source of randomness
    * @return thirty-two hexadecimal digits
    */
   public static String newId(Random random) {
@@ -252,9 +252,9 @@
   }
 
   /**
-   * Says why the instance takes no requests.
+   * Returns the reason why the instance accepts no requests.
    *
-   * @return a few words; empty when it takes them
+   * @return the reason; empty when it accepts requests
    */
   public String unreadyReason() {
     if (drainStage.read() != DrainStage.SERVING) {
@@ -267,7 +267,7 @@
   }
 
   /**
-   * Leaves without cutting off a request.
+   * Drains the instance: it leaves without interrupting a request.
    *
    * @return completes when the process may exit
    */
@@ -276,25 +276,25 @@
   }
 
   /**
-   * Gives the configuration in force.
+   * Returns the current configuration.
    *
-   * @return the blackboard's section
+   * @return the published value of the configuration
    */
   public PublishedValue<ConfigSnapshot> config() {
     return config;
   }
 
   /**
-   * Gives the fleet as this node sees it.
+   * Returns the membership as seen by this node.
    *
-   * @return the blackboard's section
+   * @return the published value of the membership
    */
   public PublishedValue<Membership> members() {
     return members;
   }
 
   /**
-   * Gives the part that accepts configuration.
+   * Returns the store that accepts configuration changes.
    *
    * @return the store
    */
@@ -303,7 +303,7 @@
   }
 
   /**
-   * Gives the part that follows the fleet.
+   * Returns the controller that maintains the membership.
    *
    * @return the controller
    */
@@ -312,7 +312,7 @@
   }
 
   /**
-   * Gives the budgets.
+   * Returns the controller of the budgets.
    *
    * @return the controller
    */
@@ -321,7 +321,7 @@
   }
 
   /**
-   * Gives the request records.
+   * Returns the request records.
    *
    * @return the records
    */
@@ -330,7 +330,7 @@
   }
 
   /**
-   * Gives the last routing decisions.
+   * Returns the recent routing decisions.
    *
    * @return the decisions
    */
@@ -339,16 +339,16 @@
   }
 
   /**
-   * Gives the upstreams.
+   * Returns the registry of upstreams.
    *
-   * @return the table
+   * @return the registry
    */
   public UpstreamRegistry upstreams() {
     return upstreams;
   }
 
   /**
-   * Gives the queues.
+   * Returns the router, which holds the queues.
    *
    * @return the router
    */
@@ -357,7 +357,7 @@
   }
 
   /**
-   * Gives the part that keeps requests that end upstreams away from them.
+   * Returns the guard that quarantines requests that crash upstreams.
    *
    * @return the guard
    */
@@ -366,7 +366,7 @@
   }
 
   /**
-   * Gives the part that runs requests.
+   * Returns the service that runs requests.
    *
    * @return the service
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/node/NodeDrainWork.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/NodeDrainWork.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.tinylog.Logger;
 
-/** What a node does in the stages of its drain. */
+/** The work of a node in the stages of its drain. */
 final class NodeDrainWork implements DrainWork {
 
   private final MembershipController membership;
@@ -52,7 +52,7 @@
             .whenComplete(
                 (nothing, error) -> {
                   if (error != null) {
-                    Logger.warn("tokens not returned: {}", error.getMessage());
+                    Logger.warn("failed to return tokens: {}", error.getMessage());
                   }
                   returned.set(error == null);
                 });
--- a/mothrill-core/src/main/java/io/mothrill/core/node/NodePorts.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/NodePorts.java
@@ -12,18 +12,18 @@
 import java.util.Random;
 
 /**
- * What a node reaches the world through.
+ * The external services that a node uses.
  *
  * @param table the platform's table
  * @param instances the platform's instance list
- * @param links the way to peers
- * @param dispatcher where requests from peers arrive
- * @param upstreams sends calls
- * @param upstreamEnds finds out whether an upstream has ended
- * @param crashReports tells other instances of requests under which upstreams ended
- * @param codec writes resources
- * @param timers the time
- * @param random choices and ids
+ * @param links sends requests to peers
+ * @param dispatcher dispatches requests from peers
+ * @param upstreams sends calls to upstreams
+ * @param upstreamEnds detects whether an upstream has ended
+ * @param crashReports reports requests that crashed upstreams to other instances
+ * @param codec encodes and decodes resources
+ * @param timers the clock and timer service
+ * @param random the source of randomness for selections and ids
  */
 public record NodePorts(
     TableService table,
--- a/mothrill-core/src/main/java/io/mothrill/core/node/NodeSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/NodeSettings.java
@@ -6,13 +6,13 @@
 import io.mothrill.core.routing.QueueSettings;
 
 /**
- * How a node decides.
+ * The settings of a node.
  *
- * @param budgets how budgets are held
- * @param requests how requests are run
- * @param queues how calls wait
- * @param routing how upstreams are chosen
- * @param drain how long the stages of a drain take
+ * @param budgets the budget settings
+ * @param requests the request settings
+ * @param queues the queue settings
+ * @param routing the routing settings
+ * @param drain the drain settings
  */
 public record NodeSettings(
     BudgetSettings budgets,
@@ -22,9 +22,9 @@
     DrainSettings drain) {
 
   /**
-   * Gives the settings that suit both deployments.
+   * Returns the default settings for both deployments.
    *
-   * @return the standard settings of every part
+   * @return the default settings of every component
    */
   public static NodeSettings standard() {
     return new NodeSettings(
--- a/mothrill-core/src/main/java/io/mothrill/core/node/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/node/package-info.java
@@ -1,2 +1,2 @@
-/** One instance's parts put together from ports, for daemons, embedders and tests. */
+/** Assembles an instance from its components and ports, for daemons, embedders and tests. */
 package io.mothrill.core.node;
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
@@ -4,11 +4,11 @@
 import java.util.Random;
 
 /**
- * Spreads what every instance would do over a large fleet.
+ * Spreads work that every instance would do over a large fleet.
  *
- * <p>Failure: each instance polls the platform, so its load grows with the fleet. Symptom: at 1,700
- * instances the polls alone exceed what the platform takes. About fifty instances poll at a time,
- * however many there are; in a fleet of up to fifty each of them does.
+ * <p>If each instance polled the platform, the load on the platform would grow with the fleet; at
+ * 1,700 instances the polls alone exceed its capacity. About fifty instances poll at a time,
+ * regardless of the size of the fleet. In a fleet of up to fifty instances all of them poll.
  */
 public final class FleetPacing {
 
@@ -20,8 +20,8 @@
   /**
    * Creates the pacing.
    *
-   * @param members the fleet
-   * @param random chooses whose turn it is
+   * @param members the current membership
+   * @param random decides in a large fleet whether it is this instance's turn
    */
   public FleetPacing(PublishedValue<Membership> members, Random random) {
     this.members = members;
@@ -29,9 +29,10 @@
   }
 
   /**
-   * Decides whether it is this instance's turn.
+   * Checks whether it is this instance's turn.
    *
-   * @return true always in a small fleet, and with the fitting probability in a large one
+   * @return always true in a small fleet; true with a probability of fifty divided by the size of
+   *     the fleet in a large one
    */
   public boolean isTurn() {
     int fleet = 1 + members.read().others().size();
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/Membership.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/Membership.java
@@ -8,22 +8,22 @@
 import java.util.stream.Stream;
 
 /**
- * The instances known to this one; immutable.
+ * An immutable view of the instances known to this one.
  *
  * @param self this instance
- * @param others the other instances that the platform lists or that were heard lately
- * @param reachable the incarnations that answered this instance lately
+ * @param others the other instances that the platform lists or that sent a heartbeat recently
+ * @param reachable the incarnations from which a heartbeat was received recently
  */
 public record Membership(InstanceRecord self, List<InstanceRecord> others, Set<String> reachable) {
 
-  /** Takes copies of the collections. */
+  /** Copies the collections. */
   public Membership {
     others = List.copyOf(others);
     reachable = Set.copyOf(reachable);
   }
 
   /**
-   * Gives a view of an instance that knows of no other.
+   * Returns the view of an instance that knows no other instances.
    *
    * @param self this instance
    * @return the view
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Lists the other instances that answer.
+   * Returns the other instances that are reachable.
    *
    * @return the instances
    */
@@ -42,7 +42,7 @@
   }
 
   /**
-   * Lists all known instances that are not leaving, with this one.
+   * Returns all known instances that are not leaving, including this one.
    *
    * @return the instances, reachable or not
    */
@@ -51,27 +51,27 @@
   }
 
   /**
-   * Lists the known instances of a failure domain that are not leaving.
+   * Returns the known instances of a failure domain that are not leaving.
    *
    * @param domain the failure domain
-   * @return the instances, reachable or not, with this one where it belongs to them
+   * @return the instances, reachable or not, including this one if it belongs to the failure domain
    */
   public List<InstanceRecord> activeInstancesIn(String domain) {
     return activeInstances().stream().filter(instance -> instance.domain().equals(domain)).toList();
   }
 
   /**
-   * Says whether an instance answers.
+   * Checks whether an instance is reachable.
    *
    * @param instance the instance
-   * @return true for this instance and for each that was heard lately
+   * @return true for this instance and each instance from which a heartbeat was received recently
    */
   public boolean isReachable(InstanceRecord instance) {
     return isSelf(instance) || reachable.contains(instance.incarnation());
   }
 
   /**
-   * Says whether a record is this instance.
+   * Checks whether a record is this instance.
    *
    * @param instance the instance
    * @return true when it is this incarnation
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Finds an instance.
+   * Returns the instance of an incarnation.
    *
-   * @param incarnation its incarnation
-   * @return the instance, or empty when it is not known or was replaced
+   * @param incarnation the incarnation
+   * @return the instance, or empty when the incarnation is unknown or was replaced
    */
   public Optional<InstanceRecord> find(String incarnation) {
     return all().filter(instance -> instance.incarnation().equals(incarnation)).findFirst();
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -26,14 +26,15 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the blackboard's view of the fleet, from the platform's list and from heartbeats.
+ * Maintains the membership view from the platform's instance list and from heartbeats.
  *
- * <p>The list says who belongs to the fleet; heartbeats say who can be reached. Each round asks at
- * most {@link #FAN_OUT} peers, so its cost does not grow with the fleet.
+ * <p>The list determines which instances belong to the fleet; heartbeats determine which are
+ * reachable. Each round sends heartbeats to at most {@link #FAN_OUT} peers, so its cost does not
+ * grow with the fleet.
  */
 public final class MembershipController {
 
-  /** How many peers one round of heartbeats asks. */
+  /** The number of peers to which one round of heartbeats is sent. */
   public static final int FAN_OUT = 8;
 
   private static final int MISSED_ROUNDS = 4;
@@ -53,16 +54,16 @@
   private long round;
 
   /**
-   * Creates the controller and starts its rounds.
+   * Creates the controller and starts its periodic rounds.
    *
    * @param section where the view is published
-   * @param config the configuration in force here
-   * @param configController takes up configuration that a peer has first
-   * @param list the platform's list
-   * @param links the way to peers
-   * @param dispatcher where heartbeats from peers are served
-   * @param timers the time
-   * @param random chooses whom to ask
+   * @param config the current configuration of this instance
+   * @param configController fetches configuration changes from peers that have a newer revision
+   * @param list the platform's instance list
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of heartbeats are registered
+   * @param timers the clock and timer service
+   * @param random selects the peers of a round
    */
   public MembershipController(
       PublishedValue<Membership> section,
@@ -97,7 +98,10 @@
     refreshReachable();
   }
 
-  /** Every instance stays announced; in a large fleet only some read the whole list each time. */
+  /**
+   * Announces this instance in every round. In a large fleet only some instances read the whole
+   * list in a round.
+   */
   private void pollList() {
     if (pacing.isTurn()) {
       readList();
@@ -115,7 +119,7 @@
                   if (error == null) {
                     applyList(records);
                   } else {
-                    Logger.debug("instance list not read: {}", error.getMessage());
+                    Logger.debug("failed to read the instance list: {}", error.getMessage());
                   }
                 });
   }
@@ -125,10 +129,11 @@
   }
 
   /**
-   * Takes the list, and keeps whoever answers although the list has forgotten it.
+   * Applies the list, and retains reachable instances that it does not contain.
    *
-   * <p>Failure: after an outage the list is read before all instances have announced themselves
-   * again. Symptom: a live instance counts as gone, and others take over what it still holds.
+   * <p>After an outage the list may be read before all instances have announced themselves again.
+   * Without this, a live instance would be considered as gone, and others would take over what it
+   * still holds.
    */
   private static Membership mergeList(Membership view, List<InstanceRecord> records) {
     Set<String> listed = records.stream().map(InstanceRecord::id).collect(Collectors.toSet());
@@ -154,7 +159,10 @@
             .exceptionally(error -> handleFailure(peer, error));
   }
 
-  /** A peer whose process has ended is not waited for. */
+  /**
+   * Marks a peer as unreachable at once when its process has ended, instead of waiting for missed
+   * heartbeats.
+   */
   private Void handleFailure(InstanceRecord peer, Throwable error) {
     boolean gone = Failures.unwrap(error) instanceof PeerException known && known.isGone();
     if (gone) {
@@ -183,7 +191,10 @@
     }
   }
 
-  /** A peer's own word about itself is newer than the platform's list, which lags. */
+  /**
+   * Applies a peer's record of itself, which is newer than its record in the platform's list,
+   * because the list lags.
+   */
   private static Membership mergePeer(Membership view, InstanceRecord peer) {
     if (view.isReachable(peer) && view.others().contains(peer)) {
       return view;
@@ -222,7 +233,9 @@
                 : new Membership(view.self(), view.others(), Set.copyOf(lastHeardMs.keySet())));
   }
 
-  /** Marks this instance as leaving and tells the platform at once. */
+  /**
+   * Marks this instance as leaving and notifies the platform and the reachable peers immediately.
+   */
   public void leave() {
     section.update(
         view -> new Membership(view.self().asLeaving(), view.others(), view.reachable()));
@@ -231,9 +244,9 @@
   }
 
   /**
-   * Says how far other instances have come with the configuration.
+   * Returns the configuration revisions of other instances.
    *
-   * @return revisions in force by incarnation, of the instances that answer
+   * @return the revision in use by incarnation, for instances that are reachable
    */
   public Map<String, Long> peerRevisions() {
     return Map.copyOf(peerRevisions);
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/PeerDispatcher.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/PeerDispatcher.java
@@ -6,10 +6,10 @@
 import java.util.function.Function;
 
 /**
- * Hands each request from a peer to the part that serves it.
+ * Dispatches requests from peers to the handlers that are registered for their types.
  *
  * <pre>{@code
- * dispatcher.on(PeerMessage.HandBack.class, lending::takeBack);
+ * dispatcher.on(PeerMessage.HandBack.class, lender::onHandBack);
  * }</pre>
  */
 public final class PeerDispatcher {
@@ -18,11 +18,11 @@
       new ConcurrentHashMap<>();
 
   /**
-   * Registers the part that serves a type of request.
+   * Registers the handler of a type of request.
    *
-   * @param type the type
-   * @param handler gives the reply
-   * @param <T> the type
+   * @param type the class of the request
+   * @param handler returns the reply
+   * @param <T> the type of the request
    */
   public <T extends PeerMessage> void on(
       Class<T> type, Function<T, CompletableFuture<PeerMessage>> handler) {
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Serves a request.
+   * Dispatches a request to its handler.
    *
    * @param request the request
    * @return the reply; never fails
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/PeerLinks.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/PeerLinks.java
@@ -11,7 +11,7 @@
    *
    * @param peer the instance
    * @param request the request
-   * @param timeoutMs how long to wait
+   * @param timeoutMs the longest time to wait for the reply
    * @return the reply; fails with {@link io.mothrill.core.peer.error.PeerException}
    */
   CompletableFuture<PeerMessage> ask(InstanceRecord peer, PeerMessage request, long timeoutMs);
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/PeerMessage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/PeerMessage.java
@@ -13,50 +13,50 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A message between two instances; each request has one reply. */
+/** A message between two instances. Each request has one reply. */
 public sealed interface PeerMessage {
 
   /**
-   * Tells a peer that the sender is there; the reply tells the same of the peer.
+   * Informs a peer that the sender is alive. The reply is the heartbeat of the peer.
    *
    * @param self the sender
-   * @param configRevision the configuration revision that it has in force
+   * @param configRevision the revision of the configuration that it uses
    */
   record Heartbeat(InstanceRecord self, long configRevision) implements PeerMessage {}
 
   /**
-   * Asks for changes of configuration.
+   * Requests configuration changes.
    *
    * @param afterRevision the last revision that the sender holds
-   * @param limit at most this many
+   * @param limit the maximum number of changes
    */
   record ChangesRequest(long afterRevision, int limit) implements PeerMessage {}
 
   /**
-   * Gives changes of configuration.
+   * Contains configuration changes.
    *
-   * @param changes the changes that follow, without a gap
+   * @param changes the changes after the requested revision, without a gap
    */
   record ChangesReply(List<Change> changes) implements PeerMessage {}
 
   /**
-   * Asks for tokens.
+   * Requests tokens.
    *
-   * @param transferId names the transfer, so that it can be asked for again
+   * @param transferId identifies the transfer, so that the request can be repeated
    * @param budget the budget's name
-   * @param needTokens the least that helps
-   * @param wantedTokens as much as the sender would like
-   * @param mayGrow whether the peer should ask the platform when it has too few itself
+   * @param needTokens the smallest number of tokens that helps
+   * @param wantedTokens the preferred number of tokens
+   * @param mayGrow whether the peer should request more from the platform when it has too few
    */
   record BorrowRequest(
       String transferId, String budget, long needTokens, long wantedTokens, boolean mayGrow)
       implements PeerMessage {}
 
   /**
-   * Gives tokens; the peer no longer has them.
+   * Contains lent tokens, which the peer has removed from its pools.
    *
-   * @param slices the tokens, by the allotment that they belong to; empty when there are none
-   * @param sure false when the peer could not ask the platform for more
+   * @param slices the tokens by allotment; empty when none are available
+   * @param sure false when the peer could not reach the platform to request more
    */
   record BorrowReply(List<Slice> slices, boolean sure) implements PeerMessage {
 
@@ -64,18 +64,19 @@
      * Tokens of one allotment.
      *
      * @param allotment the allotment that they belong to
-     * @param tokens how many
-     * @param spendForMs how long they may be spent, from when the request was sent
+     * @param tokens the number of tokens
+     * @param spendForMs the time for which they may be spent, counted from the sending of the
+     *     request
      */
     public record Slice(AllotmentId allotment, long tokens, long spendForMs) {}
   }
 
   /**
-   * Gives tokens back to the instance that holds their allotment.
+   * Returns borrowed tokens to the instance that holds their allotment.
    *
-   * @param transferId names the transfer, so that it is taken once
+   * @param transferId identifies the transfer, so that it is applied once
    * @param allotment the allotment that they belong to
-   * @param tokens how many
+   * @param tokens the number of tokens
    */
   record HandBack(String transferId, AllotmentId allotment, long tokens) implements PeerMessage {}
 
@@ -83,38 +84,38 @@
    * Asks the owner of a key's range whether the request may run.
    *
    * @param key the request key
-   * @param runner the incarnation that would run it
+   * @param runner the incarnation that requests to run it
    * @param requestId the runner's id for this run
-   * @param fingerprint hash of the request, so that a key is not used for two
-   * @param repeatable whether a second run is allowed when the first runner is gone
+   * @param fingerprint a hash of the request, to detect a key that is reused for another request
+   * @param repeatable whether a second run is allowed when the first runner is unreachable
    */
   record ClaimRequest(
       RequestKey key, String runner, String requestId, String fingerprint, boolean repeatable)
       implements PeerMessage {}
 
   /**
-   * Answers a claim.
+   * The reply to a claim.
    *
-   * @param verdict what the runner has to do
-   * @param runner who runs the request, when someone else does
-   * @param answer the stored answer, when the request is done
+   * @param verdict the verdict on the claim
+   * @param runner the incarnation that runs the request, when it is another one
+   * @param answer the stored answer, when the request has completed
    */
   record ClaimReply(ClaimReply.Verdict verdict, String runner, Optional<StoredAnswer> answer)
       implements PeerMessage {
 
-    /** What the runner has to do. */
+    /** The verdict on a claim. */
     public enum Verdict {
-      /** Run it. */
+      /** The request may run. */
       RUN,
-      /** Another instance runs it: wait for its answer. */
+      /** The request runs at another instance, for whose answer the runner waits. */
       JOIN,
-      /** It is done: give the stored answer. */
+      /** The request has completed, and the stored answer is replayed. */
       REPLAY,
       /** The key was used for another request. */
       MISMATCH,
-      /** It may have run, and must not run again. */
+      /** The request may have run and must not run again. */
       OUTCOME_UNKNOWN,
-      /** The instance that was asked does not own the key's range. */
+      /** The instance does not own the range of the key. */
       NOT_OWNER
     }
   }
@@ -125,10 +126,10 @@
    * @param key the request key
    * @param requestId the runner's id for this run
    * @param runner the incarnation that ran it
-   * @param fingerprint hash of the request
-   * @param notRun true when the request surely did not run
-   * @param bill what it owes; empty when the run failed
-   * @param answer its answer; empty when it failed, or is too large to keep
+   * @param fingerprint a hash of the request
+   * @param notRun true when the request certainly did not run
+   * @param bill the bill; empty when the run failed
+   * @param answer the answer; empty when the run failed or the answer is too large to store
    */
   record FinishRequest(
       RequestKey key,
@@ -141,9 +142,9 @@
       implements PeerMessage {
 
     /**
-     * Leaves out the answer.
+     * Returns a copy without the answer.
      *
-     * @return a copy without it
+     * @return the copy
      */
     public FinishRequest withoutAnswer() {
       return new FinishRequest(key, requestId, runner, fingerprint, notRun, bill, Optional.empty());
@@ -151,60 +152,62 @@
   }
 
   /**
-   * Answers the report of a run.
+   * The reply to the report of a run.
    *
-   * @param verdict whether the run counts
+   * @param verdict the verdict on the run
    */
   record FinishReply(FinishReply.Verdict verdict) implements PeerMessage {
 
-    /** Whether a run counts. */
+    /** The verdict on whether a run counts. */
     public enum Verdict {
-      /** It counts, and the backup knows: it is to be billed. */
+      /** The run counts, and the backup has acknowledged it. Its bill is posted. */
       CONFIRMED,
-      /** Another run counts: its bill is to be dropped. */
+      /** Another run counts. The bill of this run is dropped. */
       SUPERSEDED,
-      /** It cannot be told yet, because the backup does not answer. */
+      /** The verdict is not known yet, because the backup has not responded. */
       HELD,
-      /** The instance that was asked does not own the key's range. */
+      /** The instance does not own the range of the key. */
       NOT_OWNER
     }
   }
 
   /**
-   * Tells the owner of keys that bills are in the ledger, so that nobody need post them again.
+   * Notifies the owner of keys that bills have been written to the ledger, so that no instance has
+   * to post them again.
    *
    * @param keys the keys of the runs whose bills were posted
    */
   record BillsPosted(List<RequestKey> keys) implements PeerMessage {}
 
   /**
-   * Waits for the answer of a request that the peer runs.
+   * Requests the answer of a request that the peer runs, and waits for it.
    *
    * @param key the request key
    */
   record AnswerRequest(RequestKey key) implements PeerMessage {}
 
   /**
-   * Gives the answer of a request.
+   * Contains the answer of a request.
    *
-   * @param pending true when the run goes on and the peer has to be asked again
-   * @param answer the answer; empty when the run failed or its answer was not kept
+   * @param pending true when the run is still in flight and the peer has to be asked again
+   * @param answer the answer; empty when the run failed or its answer was not stored
    */
   record AnswerReply(boolean pending, Optional<StoredAnswer> answer) implements PeerMessage {}
 
   /**
-   * Asks the holder of allotments to post bills that draw on them; the reply comes when they are in
-   * the ledger.
+   * Requests the holder of allotments to post bills for them. The reply is sent when the bills have
+   * been written to the ledger.
    *
-   * @param validUntilWallMs the wall clock time after which the holder must not take them any more
+   * @param validUntilWallMs the wall clock time after which the holder must not accept them any
+   *     more
    * @param lines the bills
    */
   record PostBills(long validUntilWallMs, List<Line> lines) implements PeerMessage {
 
     /**
-     * One bill.
+     * A bill.
      *
-     * @param allotment the allotment that it draws on
+     * @param allotment the allotment whose tokens it used
      * @param entry the bill
      */
     public record Line(AllotmentId allotment, LedgerEntry entry) {}
@@ -218,60 +221,60 @@
   record SoleRequest(SoleClaim claim) implements PeerMessage {}
 
   /**
-   * Answers a claim of an unrepeatable request.
+   * The reply to the claim of an unrepeatable request.
    *
    * @param outcome whether the request may be sent
    */
   record SoleReply(UnrepeatableClaims.Outcome outcome) implements PeerMessage {}
 
   /**
-   * Gives up the claim of a run that surely did not send its request.
+   * Releases the claim of a run that certainly did not send its request.
    *
    * @param claim the claim
    */
   record SoleRelease(SoleClaim claim) implements PeerMessage {}
 
   /**
-   * Asks the backup of a range to acknowledge decisions.
+   * Requests the backup of a range to acknowledge decisions.
    *
    * @param range the range's name
    * @param epoch the epoch in which the owner owns it
    * @param backup the incarnation that must acknowledge
-   * @param content what was decided
+   * @param content the decisions
    */
   record CopyRange(String range, long epoch, String backup, RangeContent content)
       implements PeerMessage {}
 
   /**
-   * Asks the backup of a range to refuse its owner from now on.
+   * Requests the backup of a range to fence the owner of an epoch.
    *
    * @param range the range's name
-   * @param epoch the epoch of the owner that is refused
-   * @param backup the incarnation that is meant
+   * @param epoch the epoch of the owner that is fenced
+   * @param backup the incarnation to which the request is addressed
    */
   record FenceRange(String range, long epoch, String backup) implements PeerMessage {}
 
   /**
-   * Says that the owner of a range is refused from now on.
+   * Confirms that the owner of a range has been fenced.
    *
-   * @param content what the backup had acknowledged
+   * @param content the decisions that the backup had acknowledged
    */
   record FenceReply(RangeContent content) implements PeerMessage {}
 
   /**
-   * Asks an instance to keep the end of a run that cannot be decided about yet.
+   * Requests an instance to store the end of a run that cannot be decided yet.
    *
    * @param finish the end of the run
    */
   record KeepCopy(FinishRequest finish) implements PeerMessage {}
 
-  /** Says that a request was taken. */
+  /** Confirms that a request was accepted. */
   record Done() implements PeerMessage {}
 
   /**
-   * Says that a request was not taken.
+   * Reports that a request was not accepted.
    *
-   * @param reason why, for the log
+   * @param reason the reason, for the log
    */
   record Refused(String reason) implements PeerMessage {}
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/RendezvousHash.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/RendezvousHash.java
@@ -8,20 +8,22 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Ranks names for a key, so that everyone who knows the same names ranks them alike.
+ * Rendezvous hashing: ranks names for a key, with the same result for every instance that knows the
+ * same names.
  *
- * <p>When a name comes or goes, only the keys that it ranks first for change hands.
+ * <p>When a name is added or removed, only the keys for which it ranks first are reassigned.
  */
 public final class RendezvousHash {
 
   private RendezvousHash() {}
 
   /**
-   * Ranks instances for a key by their names, so a replacement keeps its predecessor's place.
+   * Ranks instances for a key by their ids, so that a replacement keeps the rank of its
+   * predecessor.
    *
    * @param key the key
    * @param instances the instances
-   * @return the instances, first rank first
+   * @return the instances, in rank order
    */
   public static List<InstanceRecord> rank(String key, Collection<InstanceRecord> instances) {
     return instances.stream()
@@ -32,12 +34,13 @@
   }
 
   /**
-   * Counts the instances that {@link #rank} places before one.
+   * Returns the rank of an instance, which is the number of instances that {@link #rank} places
+   * before it.
    *
    * @param key the key
-   * @param instance the instance whose place is asked for
-   * @param others the instances beside it
-   * @return its place; 0 for the first
+   * @param instance the instance whose rank is requested
+   * @param others the other instances
+   * @return the rank; 0 for the first
    */
   public static int rankOf(String key, InstanceRecord instance, Collection<InstanceRecord> others) {
     long score = score(key, instance.id());
@@ -53,11 +56,12 @@
   }
 
   /**
-   * Places a name for a key on a scale; the name with the greatest share is the same everywhere.
+   * Returns the score of a name for a key. The name with the greatest score is the same at every
+   * instance.
    *
    * @param key the key
    * @param name the name
-   * @return from 0 to 1, evenly spread
+   * @return a number from 0 to 1, uniformly distributed
    */
   public static double normalizedScore(String key, String name) {
     return (score(key, name) >>> 1) / (double) Long.MAX_VALUE;
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/ReportRateLimiter.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/ReportRateLimiter.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.peer;
 
-/** Bounds the reports that one instance sends to others in a second; any thread may use it. */
+/** Limits the reports that one instance sends to others per second. Thread-safe. */
 public final class ReportRateLimiter {
 
   private static final long SECOND_MS = 1_000;
@@ -10,19 +10,19 @@
   private int sentInWindow;
 
   /**
-   * Creates a bound.
+   * Creates a rate limiter.
    *
-   * @param maxPerS reports in a second
+   * @param maxPerS the maximum number of reports per second
    */
   public ReportRateLimiter(int maxPerS) {
     this.maxPerS = maxPerS;
   }
 
   /**
-   * Asks for a report.
+   * Acquires permission to send a report.
    *
-   * @param nowMs the time
-   * @return true when it may be sent
+   * @param nowMs the current time of the timer service, in milliseconds
+   * @return true when the report may be sent
    */
   public synchronized boolean tryAcquire(long nowMs) {
     if (nowMs - windowStartMs >= SECOND_MS) {
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/error/PeerException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/error/PeerException.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.peer.error;
 
-/** A peer gave no reply; whether it took the request is not known. */
+/** Thrown when a peer did not reply. It is unknown whether the peer accepted the request. */
 public final class PeerException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -13,7 +13,7 @@
   }
 
   /**
-   * Nothing listens at a peer's address: its process has ended.
+   * Creates the error for a peer that refused the connection, because its process has ended.
    *
    * @param peer the peer's id
    * @return the error
@@ -23,19 +23,19 @@
   }
 
   /**
-   * Says whether the peer's process has surely ended.
+   * Checks whether the peer's process has certainly ended.
    *
-   * @return false when it may only be slow, paused or cut off
+   * @return false when it may only be slow, paused or partitioned
    */
   public boolean isGone() {
     return gone;
   }
 
   /**
-   * A peer could not be reached or did not reply in time.
+   * Creates the error for a peer that could not be reached or did not reply in time.
    *
    * @param peer the peer's id
-   * @param detail what happened
+   * @param detail the cause
    * @return the error
    */
   public static PeerException noReply(String peer, String detail) {
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/package-info.java
@@ -1,2 +1,2 @@
-/** What instances say to each other, and which of them are there. */
+/** Messages between instances, and the membership of the fleet. */
 package io.mothrill.core.peer;
--- a/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
@@ -31,7 +31,7 @@
 
     @Override
     public void handOver() {
-      // What is handed over is tested with the parts that do it.
+      // The hand-over itself is tested with the components that do it.
     }
 
     @Override
@@ -40,7 +40,8 @@
     }
   }
 
-  // The balancer still sends for a while after readiness fails. Those calls must be served.
+  // Guards against refusing requests too early: the load balancer still sends requests for a while
+  // after readiness fails.
   @Test
   void stillTakesRequestsUntilTheBalancerHadTimeToNotice() {
     // WHEN
@@ -69,8 +70,8 @@
     assertThat(done.isDone()).isTrue();
   }
 
-  // The platform is down, so nothing can be handed over. The process exits all the same in bounded
-  // time; its bills are with other instances.
+  // Guards against a process that never exits because the platform is unreachable and nothing can
+  // be handed over. Its bills are stored at other instances.
   @Test
   void endsInBoundedTimeWhenTheHandOverDoesNotSucceed() {
     // GIVEN
