--- a/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentManager.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/AllotmentManager.java
@@ -164,7 +164,8 @@
             () -> reconcileReturn(allotment, 1).thenCompose(rows -> grant(allotment, demand, 1)))
         .exceptionally(
             error -> {
-              Logger.debug("no tokens granted for budget {}: {}", demand.budget(), error.getMessage());
+              Logger.debug(
+                  "no tokens granted for budget {}: {}", demand.budget(), error.getMessage());
               return Result.UNREACHABLE;
             });
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
@@ -70,8 +70,8 @@
     if (!(message instanceof BorrowReply reply)) {
       return Result.UNREACHABLE;
     }
-    boolean first = pendingLoans.remove(loan.request().transferId()) != null;
-    if (first) {
+    boolean firstReply = pendingLoans.remove(loan.request().transferId()) != null;
+    if (firstReply) {
       reply.slices().forEach(slice -> addPool(loan, slice));
     }
     if (!reply.slices().isEmpty()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetAccount.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetAccount.java
@@ -193,10 +193,10 @@
 
   void addPool(TokenPool pool) {
     pools.updateAndGet(
-        before -> {
-          List<TokenPool> longer = new ArrayList<>(before);
-          longer.add(pool);
-          return List.copyOf(longer);
+        current -> {
+          List<TokenPool> extended = new ArrayList<>(current);
+          extended.add(pool);
+          return List.copyOf(extended);
         });
   }
 
@@ -204,10 +204,11 @@
   void removeSpentPools(TokenPool own) {
     long nowMs = timers.nowMs();
     pools.updateAndGet(
-        before -> before.stream().filter(pool -> pool == own || !isOver(pool, nowMs)).toList());
+        current ->
+            current.stream().filter(pool -> pool == own || !isRemovable(pool, nowMs)).toList());
   }
 
-  private static boolean isOver(TokenPool pool, long nowMs) {
+  private static boolean isRemovable(TokenPool pool, long nowMs) {
     return pool.isSpent() || (pool.isUnused() && !pool.maySpendAt(nowMs));
   }
 
@@ -348,12 +349,12 @@
       completions = serveWaiters();
       waiters.removeIf(
           waiter -> {
-            boolean over = mustRefuse(waiter, roundResult);
-            if (over) {
+            boolean refused = mustRefuse(waiter, roundResult);
+            if (refused) {
               completions.add(
                   () -> waiter.reserved().completeExceptionally(refusal(waiter, roundResult)));
             }
-            return over;
+            return refused;
           });
       refilling = false;
     }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lease.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lease.java
@@ -133,7 +133,8 @@
     if (rowRemoved || row.cells().number(CLOSED) == 1) {
       closed = true;
       spendUntilMs.set(Long.MIN_VALUE);
-      Logger.error("lease of {} was closed by another instance; no more tokens are reserved", incarnation);
+      Logger.error(
+          "lease of {} was closed by another instance; no more tokens are reserved", incarnation);
       return CompletableFuture.failedFuture(new IllegalStateException("lease closed"));
     }
     Cells cells = Cells.empty().with(RENEWED_WALL_MS, timers.wallMs()).with(LEASE_MS, leaseMs);
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerPoster.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/LedgerPoster.java
@@ -45,7 +45,7 @@
   private final Map<AllotmentId, Long> knownSeq = new HashMap<>();
   private final Map<String, Long> recoveredAtMs = new HashMap<>();
   private final Set<AllotmentId> rescan = new HashSet<>();
-  private final AtomicBoolean busy = new AtomicBoolean();
+  private final AtomicBoolean roundInFlight = new AtomicBoolean();
   private final Counter postedTokens;
   private final Counter lateTokens;
 
@@ -155,13 +155,13 @@
 
   /** Writes the next batches, unless a round is in flight. */
   public void flush() {
-    if (!busy.compareAndSet(false, true)) {
+    if (!roundInFlight.compareAndSet(false, true)) {
       return;
     }
     Map<AllotmentId, List<Pending>> round = nextRound();
     List<AllotmentId> allotments = List.copyOf(round.keySet());
     if (allotments.isEmpty()) {
-      busy.set(false);
+      roundInFlight.set(false);
       return;
     }
     var unused =
@@ -171,7 +171,7 @@
             .thenCompose(rows -> write(round, rows))
             .whenComplete(
                 (nothing, error) -> {
-                  busy.set(false);
+                  roundInFlight.set(false);
                   if (error != null) {
                     Logger.debug("failed to write ledger batch: {}", error.getMessage());
                   }
@@ -219,9 +219,9 @@
     return table
         .scan(BudgetTables.LEDGER, prefix, afterKey, SCAN_ROWS)
         .thenCompose(
-            found -> {
-              found.forEach(row -> applyBatch(allotment, row));
-              if (found.isEmpty()) {
+            batches -> {
+              batches.forEach(row -> applyBatch(allotment, row));
+              if (batches.isEmpty()) {
                 throw new IllegalStateException("ledger of " + allotment + " is missing a batch");
               }
               return catchUp(allotment, seq);
@@ -339,7 +339,8 @@
     boolean late = AllotmentRow.of(batch.row()).closed();
     if (late) {
       lateTokens.inc(batch.tokens());
-      Logger.error("{} bills arrived after allotment {} was closed", batch.bills().size(), allotment);
+      Logger.error(
+          "{} bills arrived after allotment {} was closed", batch.bills().size(), allotment);
     } else {
       postedTokens.inc(batch.tokens());
       synchronized (pending) {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
@@ -50,14 +50,15 @@
   }
 
   private CompletableFuture<PeerMessage> onBorrow(BorrowRequest request) {
-    Optional<BorrowReply> before = loanReplies.find(request.transferId());
-    if (before.isPresent()) {
-      return CompletableFuture.completedFuture(before.get());
+    Optional<BorrowReply> cachedReply = loanReplies.find(request.transferId());
+    if (cachedReply.isPresent()) {
+      return CompletableFuture.completedFuture(cachedReply.get());
     }
-    CompletableFuture<PeerMessage> first = new CompletableFuture<>();
-    CompletableFuture<PeerMessage> running = inFlight.putIfAbsent(request.transferId(), first);
-    if (running != null) {
-      return running;
+    CompletableFuture<PeerMessage> pendingReply = new CompletableFuture<>();
+    CompletableFuture<PeerMessage> inFlightReply =
+        inFlight.putIfAbsent(request.transferId(), pendingReply);
+    if (inFlightReply != null) {
+      return inFlightReply;
     }
     var unused =
         ensureAvailable(request)
@@ -65,9 +66,9 @@
                 sure -> {
                   BorrowReply reply = lend(request, sure);
                   inFlight.remove(request.transferId());
-                  first.complete(reply);
+                  pendingReply.complete(reply);
                 });
-    return first;
+    return pendingReply;
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Reclaimer.java
@@ -34,7 +34,7 @@
   private final PublishedValue<Membership> members;
   private final Timers timers;
   private final long graceMs;
-  private final AtomicBoolean busy = new AtomicBoolean();
+  private final AtomicBoolean checkInFlight = new AtomicBoolean();
 
   /**
    * Creates the reclaimer and starts its periodic checks.
@@ -65,14 +65,14 @@
   }
 
   private void check() {
-    if (!isElected() || !busy.compareAndSet(false, true)) {
+    if (!isElected() || !checkInFlight.compareAndSet(false, true)) {
       return;
     }
     var unused =
         checkFrom("")
             .whenComplete(
                 (nothing, error) -> {
-                  busy.set(false);
+                  checkInFlight.set(false);
                   if (error != null) {
                     Logger.debug("reclaim check failed: {}", error.getMessage());
                   }
@@ -137,7 +137,11 @@
               return open.isEmpty()
                   ? table
                       .write(new Transaction(List.of(), List.of()).andDelete(lease))
-                      .thenAccept(deleted -> Logger.info("lease of {} deleted after all its allotments were reclaimed", incarnation))
+                      .thenAccept(
+                          deleted ->
+                              Logger.info(
+                                  "lease of {} deleted after all its allotments were reclaimed",
+                                  incarnation))
                   : all;
             });
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TokenDemand.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TokenDemand.java
@@ -19,10 +19,10 @@
   /**
    * Returns a copy that records whether a source asked before was unreachable.
    *
-   * @param away true when a source was unreachable
+   * @param unreachable true when a source was unreachable
    * @return the copy
    */
-  public TokenDemand withPlatformUnreachable(boolean away) {
-    return new TokenDemand(budget, needTokens, ratePerSecond, availableTokens, away);
+  public TokenDemand withPlatformUnreachable(boolean unreachable) {
+    return new TokenDemand(budget, needTokens, ratePerSecond, availableTokens, unreachable);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TokenPool.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TokenPool.java
@@ -51,12 +51,12 @@
   /** Takes the available tokens up to a limit. */
   long takeUpTo(long limitTokens) {
     while (true) {
-      long seen = availableTokens.get();
-      long taken = Math.min(seen, limitTokens);
+      long current = availableTokens.get();
+      long taken = Math.min(current, limitTokens);
       if (taken <= 0) {
         return 0;
       }
-      if (availableTokens.compareAndSet(seen, seen - taken)) {
+      if (availableTokens.compareAndSet(current, current - taken)) {
         return taken;
       }
     }
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/TransferReplyCache.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/TransferReplyCache.java
@@ -9,7 +9,7 @@
 /** Caches the replies to transfers, so that a repeated request does not move more tokens. */
 final class TransferReplyCache<T> {
 
-  private final Map<String, Entry<T>> answers = new LinkedHashMap<>();
+  private final Map<String, Entry<T>> replies = new LinkedHashMap<>();
   private final Timers timers;
   private final long retentionMs;
 
@@ -18,20 +18,20 @@
     this.retentionMs = retentionMs;
   }
 
-  private record Entry<T>(T answer, long atMs) {}
+  private record Entry<T>(T reply, long atMs) {}
 
   synchronized Optional<T> find(String transferId) {
-    return Optional.ofNullable(answers.get(transferId)).map(Entry::answer);
+    return Optional.ofNullable(replies.get(transferId)).map(Entry::reply);
   }
 
-  synchronized void put(String transferId, T answer) {
+  synchronized void put(String transferId, T reply) {
     evictExpired();
-    answers.put(transferId, new Entry<>(answer, timers.nowMs()));
+    replies.put(transferId, new Entry<>(reply, timers.nowMs()));
   }
 
   private void evictExpired() {
     long oldestMs = timers.nowMs() - retentionMs;
-    Iterator<Entry<T>> entries = answers.values().iterator();
+    Iterator<Entry<T>> entries = replies.values().iterator();
     while (entries.hasNext() && entries.next().atMs() < oldestMs) {
       entries.remove();
     }
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/FleetPacing.java
@@ -35,7 +35,7 @@
    *     the fleet in a large one
    */
   public boolean isTurn() {
-    int fleet = 1 + members.read().others().size();
-    return fleet <= TARGET_POLLERS || random.nextInt(fleet) < TARGET_POLLERS;
+    int fleetSize = 1 + members.read().others().size();
+    return fleetSize <= TARGET_POLLERS || random.nextInt(fleetSize) < TARGET_POLLERS;
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -41,7 +41,7 @@
   private static final int LIST_EVERY_ROUNDS = 2;
   private static final long SECOND_MS = 1_000;
 
-  private final PublishedValue<Membership> section;
+  private final PublishedValue<Membership> membership;
   private final PublishedValue<ConfigSnapshot> config;
   private final ConfigController configController;
   private final InstanceList list;
@@ -56,7 +56,7 @@
   /**
    * Creates the controller and starts its periodic rounds.
    *
-   * @param section where the view is published
+   * @param membership where the view is published
    * @param config the current configuration of this instance
    * @param configController fetches configuration changes from peers that have a newer revision
    * @param list the platform's instance list
@@ -66,7 +66,7 @@
    * @param random selects the peers of a round
    */
   public MembershipController(
-      PublishedValue<Membership> section,
+      PublishedValue<Membership> membership,
       PublishedValue<ConfigSnapshot> config,
       ConfigController configController,
       InstanceList list,
@@ -74,14 +74,14 @@
       PeerDispatcher dispatcher,
       Timers timers,
       Random random) {
-    this.section = section;
+    this.membership = membership;
     this.config = config;
     this.configController = configController;
     this.list = list;
     this.links = links;
     this.timers = timers;
     this.random = random;
-    this.pacing = new FleetPacing(section, random);
+    this.pacing = new FleetPacing(membership, random);
     dispatcher.on(Heartbeat.class, this::onHeartbeat);
     dispatcher.on(ChangesRequest.class, this::onChangesRequest);
     timers.every(SECOND_MS, this::runRound);
@@ -92,7 +92,7 @@
     if (round++ % LIST_EVERY_ROUNDS == 0) {
       pollList();
     }
-    List<InstanceRecord> others = new ArrayList<>(section.read().others());
+    List<InstanceRecord> others = new ArrayList<>(membership.read().others());
     Collections.shuffle(others, random);
     others.stream().limit(FAN_OUT).forEach(this::sendHeartbeat);
     refreshReachable();
@@ -106,13 +106,13 @@
     if (pacing.isTurn()) {
       readList();
     } else {
-      var unused = list.announce(section.read().self()).exceptionally(error -> null);
+      var unused = list.announce(membership.read().self()).exceptionally(error -> null);
     }
   }
 
   private void readList() {
     var unused =
-        list.announce(section.read().self())
+        list.announce(membership.read().self())
             .thenCompose(nothing -> list.list())
             .whenComplete(
                 (records, error) -> {
@@ -125,7 +125,7 @@
   }
 
   private void applyList(List<InstanceRecord> records) {
-    section.update(view -> mergeList(view, records));
+    membership.update(view -> mergeList(view, records));
   }
 
   /**
@@ -173,7 +173,7 @@
   }
 
   private Heartbeat ownHeartbeat() {
-    return new Heartbeat(section.read().self(), config.read().revision());
+    return new Heartbeat(membership.read().self(), config.read().revision());
   }
 
   private CompletableFuture<PeerMessage> onHeartbeat(Heartbeat heartbeat) {
@@ -185,7 +185,7 @@
     InstanceRecord peer = heartbeat.self();
     lastHeardMs.put(peer.incarnation(), timers.nowMs());
     peerRevisions.put(peer.incarnation(), heartbeat.configRevision());
-    section.update(view -> mergePeer(view, peer));
+    membership.update(view -> mergePeer(view, peer));
     if (heartbeat.configRevision() > config.read().revision()) {
       configController.catchUp((revision, limit) -> changesOf(peer, revision, limit));
     }
@@ -221,12 +221,12 @@
   }
 
   private void refreshReachable() {
-    int known = Math.max(1, section.read().others().size());
-    long roundsPerPeer = 1L + (known - 1) / FAN_OUT;
+    int knownPeers = Math.max(1, membership.read().others().size());
+    long roundsPerPeer = 1L + (knownPeers - 1) / FAN_OUT;
     long oldestMs = timers.nowMs() - SECOND_MS * MISSED_ROUNDS * roundsPerPeer;
     lastHeardMs.values().removeIf(heard -> heard < oldestMs);
     peerRevisions.keySet().retainAll(lastHeardMs.keySet());
-    section.update(
+    membership.update(
         view ->
             view.reachable().equals(lastHeardMs.keySet())
                 ? view
@@ -237,10 +237,10 @@
    * Marks this instance as leaving and notifies the platform and the reachable peers immediately.
    */
   public void leave() {
-    section.update(
+    membership.update(
         view -> new Membership(view.self().asLeaving(), view.others(), view.reachable()));
     readList();
-    section.read().reachableOthers().forEach(this::sendHeartbeat);
+    membership.read().reachableOthers().forEach(this::sendHeartbeat);
   }
 
   /**
--- a/mothrill-core/src/main/java/io/mothrill/core/range/ClaimRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/ClaimRegistry.java
@@ -11,7 +11,7 @@
 final class ClaimRegistry {
 
   private final Timers timers;
-  private final Map<RequestKey, StoredClaim> held = new LinkedHashMap<>();
+  private final Map<RequestKey, StoredClaim> claimsByKey = new LinkedHashMap<>();
 
   ClaimRegistry(Timers timers) {
     this.timers = timers;
@@ -20,31 +20,32 @@
   private record StoredClaim(SoleClaim claim, long atMs, boolean inTable) {}
 
   synchronized Optional<SoleClaim> find(RequestKey key) {
-    return Optional.ofNullable(held.get(key)).map(StoredClaim::claim);
+    return Optional.ofNullable(claimsByKey.get(key)).map(StoredClaim::claim);
   }
 
   /** Adds a claim unless the key already has one, and returns the claim that the key has then. */
   synchronized SoleClaim putIfAbsent(SoleClaim claim, boolean inTable) {
-    StoredClaim kept =
-        held.merge(
+    StoredClaim stored =
+        claimsByKey.merge(
             claim.key(),
             new StoredClaim(claim, timers.nowMs(), inTable),
-            (before, now) ->
-                new StoredClaim(before.claim(), before.atMs(), before.inTable() || now.inTable()));
-    return kept.claim();
+            (existing, added) ->
+                new StoredClaim(
+                    existing.claim(), existing.atMs(), existing.inTable() || added.inTable()));
+    return stored.claim();
   }
 
   synchronized void remove(SoleClaim claim) {
-    held.computeIfPresent(
-        claim.key(), (key, before) -> before.claim().equals(claim) ? null : before);
+    claimsByKey.computeIfPresent(
+        claim.key(), (key, existing) -> existing.claim().equals(claim) ? null : existing);
   }
 
   synchronized List<SoleClaim> all() {
-    return held.values().stream().map(StoredClaim::claim).toList();
+    return claimsByKey.values().stream().map(StoredClaim::claim).toList();
   }
 
   synchronized List<SoleClaim> notInTable() {
-    return held.values().stream()
+    return claimsByKey.values().stream()
         .filter(entry -> !entry.inTable())
         .map(StoredClaim::claim)
         .toList();
@@ -52,6 +53,6 @@
 
   synchronized void evictExpired(long windowMs) {
     long oldestMs = timers.nowMs() - windowMs;
-    held.values().removeIf(entry -> entry.atMs() < oldestMs && entry.inTable());
+    claimsByKey.values().removeIf(entry -> entry.atMs() < oldestMs && entry.inTable());
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
@@ -94,9 +94,9 @@
    */
   private CompletableFuture<Optional<OwnedRange>> acquireWithoutBackup(
       String range, Row row, RangeRow state) {
-    RangeContent nothing = new RangeContent(List.of(), List.of());
+    RangeContent emptyContent = new RangeContent(List.of(), List.of());
     boolean free = state.owner().isEmpty() || state.owner().equals(self());
-    return free ? acquire(range, row, nothing) : acquireIfLeaseExpired(range, row, state);
+    return free ? acquire(range, row, emptyContent) : acquireIfLeaseExpired(range, row, state);
   }
 
   private CompletableFuture<Optional<RangeContent>> fence(String range, RangeRow state) {
@@ -140,8 +140,8 @@
   }
 
   private CompletableFuture<Optional<OwnedRange>> acquire(
-      String range, Row row, RangeContent handedOver) {
-    RangeContent content = handedOver.and(ownBackup.contentOf(range));
+      String range, Row row, RangeContent received) {
+    RangeContent content = received.and(ownBackup.contentOf(range));
     List<InstanceRecord> backups = KeyRanges.backups(range, members.read());
     String backup = backups.isEmpty() ? "" : backups.get(0).incarnation();
     RangeRow next = RangeRow.of(row).next(self(), backup);
@@ -153,7 +153,8 @@
               if (!written) {
                 return none();
               }
-              Logger.info("range acquired: range={} epoch={} backup={}", range, next.epoch(), backup);
+              Logger.info(
+                  "range acquired: range={} epoch={} backup={}", range, next.epoch(), backup);
               Row changed = new Row(row.key(), row.version() + 1, next.toCells());
               return load(new OwnedRange(range, changed, members, timers), content);
             });
@@ -176,21 +177,21 @@
   }
 
   /** Reads the claims after the row has changed, so that no claim can be added unnoticed. */
-  private CompletableFuture<Optional<OwnedRange>> load(OwnedRange taken, RangeContent content) {
-    taken.restore(content);
-    return scan(taken, "").thenApply(nothing -> Optional.of(taken));
+  private CompletableFuture<Optional<OwnedRange>> load(OwnedRange acquired, RangeContent content) {
+    acquired.restore(content);
+    return scan(acquired, "").thenApply(nothing -> Optional.of(acquired));
   }
 
-  private CompletableFuture<Void> scan(OwnedRange into, String afterKey) {
+  private CompletableFuture<Void> scan(OwnedRange target, String afterKey) {
     return table
-        .scan(RangeRow.CLAIMS, RangeRow.prefix(into.name()), afterKey, SCAN_ROWS)
+        .scan(RangeRow.CLAIMS, RangeRow.prefix(target.name()), afterKey, SCAN_ROWS)
         .thenCompose(
             rows -> {
               rows.forEach(
-                  row -> into.claims().putIfAbsent(RangeRow.readClaim(into.name(), row), true));
+                  row -> target.claims().putIfAbsent(RangeRow.readClaim(target.name(), row), true));
               return rows.size() < SCAN_ROWS
                   ? CompletableFuture.completedFuture(null)
-                  : scan(into, rows.get(rows.size() - 1).key().key());
+                  : scan(target, rows.get(rows.size() - 1).key().key());
             });
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
@@ -27,7 +27,7 @@
   private final PublishedValue<Membership> members;
   private final Timers timers;
   private final long retentionMs;
-  private final Map<String, Replica> ranges = new HashMap<>();
+  private final Map<String, Replica> replicas = new HashMap<>();
 
   RangeBackup(
       PublishedValue<Membership> members,
@@ -68,8 +68,8 @@
   }
 
   private synchronized CompletableFuture<PeerMessage> onCopy(CopyRange copy) {
-    Replica held = ranges.computeIfAbsent(copy.range(), range -> new Replica());
-    if (held.fencedEpoch >= copy.epoch() || !isForThisIncarnation(copy.backup())) {
+    Replica replica = replicas.computeIfAbsent(copy.range(), range -> new Replica());
+    if (replica.fencedEpoch >= copy.epoch() || !isForThisIncarnation(copy.backup())) {
       return reply(new PeerMessage.Refused("range is fenced"));
     }
     store(copy.range(), copy.content());
@@ -78,16 +78,18 @@
 
   /** Stores decisions, either as a backup or as an owner that has lost its range. */
   synchronized void store(String range, RangeContent content) {
-    Replica held = ranges.computeIfAbsent(range, name -> new Replica());
+    Replica replica = replicas.computeIfAbsent(range, name -> new Replica());
     long nowMs = timers.nowMs();
     content
         .claims()
-        .forEach(claim -> held.claims.putIfAbsent(claim.key(), new Timestamped<>(claim, nowMs)));
-    content.runs().forEach(run -> held.runs.putIfAbsent(run.key(), new Timestamped<>(run, nowMs)));
+        .forEach(claim -> replica.claims.putIfAbsent(claim.key(), new Timestamped<>(claim, nowMs)));
+    content
+        .runs()
+        .forEach(run -> replica.runs.putIfAbsent(run.key(), new Timestamped<>(run, nowMs)));
   }
 
   synchronized RangeContent contentOf(String range) {
-    return ranges.getOrDefault(range, new Replica()).content();
+    return replicas.getOrDefault(range, new Replica()).content();
   }
 
   private CompletableFuture<PeerMessage> onFence(FenceRange request) {
@@ -101,19 +103,19 @@
    * acknowledged.
    */
   synchronized RangeContent fence(String range, long epoch) {
-    Replica held = ranges.computeIfAbsent(range, name -> new Replica());
-    held.fencedEpoch = Math.max(held.fencedEpoch, epoch);
-    return held.content();
+    Replica replica = replicas.computeIfAbsent(range, name -> new Replica());
+    replica.fencedEpoch = Math.max(replica.fencedEpoch, epoch);
+    return replica.content();
   }
 
   synchronized void evictExpired() {
     long oldestMs = timers.nowMs() - retentionMs;
-    ranges
+    replicas
         .values()
         .forEach(
-            held -> {
-              held.claims.values().removeIf(entry -> entry.atMs() < oldestMs);
-              held.runs.values().removeIf(entry -> entry.atMs() < oldestMs);
+            replica -> {
+              replica.claims.values().removeIf(entry -> entry.atMs() < oldestMs);
+              replica.runs.values().removeIf(entry -> entry.atMs() < oldestMs);
             });
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
@@ -156,7 +156,7 @@
                 ? claimRunLocally(request)
                 : links
                     .ask(candidate, request, ASK_TIMEOUT_MS)
-                    .thenApply(reply -> reply instanceof ClaimReply told ? told : null),
+                    .thenApply(reply -> reply instanceof ClaimReply claimReply ? claimReply : null),
         reply -> reply.verdict() != ClaimReply.Verdict.NOT_OWNER);
   }
 
@@ -174,7 +174,7 @@
     return view.find(issuer)
         .map(candidate -> links.ask(candidate, request, ASK_TIMEOUT_MS))
         .orElseGet(() -> CompletableFuture.completedFuture(unknown))
-        .handle((reply, error) -> reply instanceof ClaimReply told ? told : unknown)
+        .handle((reply, error) -> reply instanceof ClaimReply claimReply ? claimReply : unknown)
         .thenApply(Optional::of);
   }
 
@@ -228,7 +228,10 @@
                     : links
                         .ask(candidate, request, ASK_TIMEOUT_MS)
                         .thenApply(
-                            reply -> reply instanceof FinishReply told ? told.verdict() : null),
+                            reply ->
+                                reply instanceof FinishReply finishReply
+                                    ? finishReply.verdict()
+                                    : null),
             verdict -> verdict != FinishReply.Verdict.NOT_OWNER)
         .thenApply(verdict -> verdict.orElse(FinishReply.Verdict.NOT_OWNER));
   }
@@ -254,7 +257,8 @@
                     : links
                         .ask(candidate, new PeerMessage.SoleRequest(claim), ASK_TIMEOUT_MS)
                         .thenApply(
-                            reply -> reply instanceof SoleReply told ? told.outcome() : null),
+                            reply ->
+                                reply instanceof SoleReply soleReply ? soleReply.outcome() : null),
             outcome -> outcome != Outcome.UNSAFE)
         .thenApply(outcome -> outcome.orElse(Outcome.UNSAFE));
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -42,7 +42,7 @@
   private volatile RankedView ranked = new RankedView(null, List.of());
   private final Set<String> lostRanges = ConcurrentHashMap.newKeySet();
   private final Map<String, Long> nextAcquireMs = new ConcurrentHashMap<>();
-  private final Map<String, OwnedRange> find = new ConcurrentHashMap<>();
+  private final Map<String, OwnedRange> ownedRanges = new ConcurrentHashMap<>();
   private final Map<String, CompletableFuture<Optional<OwnedRange>>> acquiring =
       new ConcurrentHashMap<>();
 
@@ -65,34 +65,34 @@
 
   /** Returns a range that is owned already, or tries to acquire it. */
   CompletableFuture<Optional<OwnedRange>> acquire(String range) {
-    OwnedRange held = find.get(range);
-    if (held != null) {
-      return CompletableFuture.completedFuture(Optional.of(held));
+    OwnedRange ownedRange = ownedRanges.get(range);
+    if (ownedRange != null) {
+      return CompletableFuture.completedFuture(Optional.of(ownedRange));
     }
     CompletableFuture<Optional<OwnedRange>> attempt = new CompletableFuture<>();
-    CompletableFuture<Optional<OwnedRange>> running = acquiring.putIfAbsent(range, attempt);
-    if (running != null) {
-      return running;
+    CompletableFuture<Optional<OwnedRange>> inProgress = acquiring.putIfAbsent(range, attempt);
+    if (inProgress != null) {
+      return inProgress;
     }
     var unused =
         acquirer
             .tryAcquire(range)
             .thenAccept(
-                taken -> {
-                  taken.ifPresent(found -> find.put(range, found));
+                acquired -> {
+                  acquired.ifPresent(found -> ownedRanges.put(range, found));
                   acquiring.remove(range);
-                  attempt.complete(taken);
+                  attempt.complete(acquired);
                 });
     return attempt;
   }
 
   /** Returns a range only if it is owned already. */
   Optional<OwnedRange> find(String range) {
-    return Optional.ofNullable(find.get(range));
+    return Optional.ofNullable(ownedRanges.get(range));
   }
 
   List<OwnedRange> all() {
-    return List.copyOf(find.values());
+    return List.copyOf(ownedRanges.values());
   }
 
   /** Decides whether a run that has ended counts. */
@@ -107,8 +107,8 @@
     }
     return replicate(range, new RangeContent(List.of(), List.of(finish)))
         .thenApply(
-            yes -> {
-              if (!yes) {
+            acknowledged -> {
+              if (!acknowledged) {
                 return FinishReply.Verdict.HELD;
               }
               range.runs().recordDecision(finish);
@@ -151,7 +151,7 @@
    * instance acquires the range again.
    */
   private void relinquish(OwnedRange range) {
-    if (find.remove(range.name(), range)) {
+    if (ownedRanges.remove(range.name(), range)) {
       ownBackup.store(range.name(), range.content());
       nextAcquireMs.remove(range.name());
       lostRanges.add(range.name());
@@ -160,9 +160,9 @@
 
   /** Grants the claim of an unrepeatable request, or returns that its key already has one. */
   CompletableFuture<Outcome> grant(OwnedRange range, SoleClaim claim) {
-    Optional<SoleClaim> known = range.claims().find(claim.key());
-    if (known.isPresent()) {
-      return CompletableFuture.completedFuture(outcomeOf(known.get(), claim));
+    Optional<SoleClaim> existing = range.claims().find(claim.key());
+    if (existing.isPresent()) {
+      return CompletableFuture.completedFuture(outcomeOf(existing.get(), claim));
     }
     Transaction insert =
         Transaction.on(
@@ -174,8 +174,8 @@
         .exceptionallyCompose(error -> grantWithBackup(range, claim));
   }
 
-  private static Outcome outcomeOf(SoleClaim held, SoleClaim claim) {
-    return held.equals(claim) ? Outcome.GRANTED : Outcome.TAKEN;
+  private static Outcome outcomeOf(SoleClaim existing, SoleClaim claim) {
+    return existing.equals(claim) ? Outcome.GRANTED : Outcome.TAKEN;
   }
 
   private static Outcome recordStored(OwnedRange range, SoleClaim claim) {
@@ -192,12 +192,12 @@
    * it.
    */
   private CompletableFuture<Outcome> grantWithBackup(OwnedRange range, SoleClaim claim) {
-    SoleClaim held = range.claims().putIfAbsent(claim, false);
-    if (!held.equals(claim)) {
+    SoleClaim existing = range.claims().putIfAbsent(claim, false);
+    if (!existing.equals(claim)) {
       return CompletableFuture.completedFuture(Outcome.TAKEN);
     }
     return replicate(range, new RangeContent(List.of(claim), List.of()))
-        .thenApply(yes -> yes ? Outcome.GRANTED : Outcome.UNSAFE);
+        .thenApply(acknowledged -> acknowledged ? Outcome.GRANTED : Outcome.UNSAFE);
   }
 
   /** Releases a claim whose run certainly did not send the request. */
@@ -228,9 +228,9 @@
     all().forEach(this::maintain);
     Membership view = members.read();
     long nowMs = timers.nowMs();
-    Stream.concat(lostRanges.stream(), firstRanges(view).stream())
+    Stream.concat(lostRanges.stream(), preferredRanges(view).stream())
         .distinct()
-        .filter(range -> !find.containsKey(range))
+        .filter(range -> !ownedRanges.containsKey(range))
         .filter(range -> nowMs >= nextAcquireMs.getOrDefault(range, 0L))
         .limit(MAX_ACQUIRED_PER_ROUND)
         .forEach(
@@ -254,12 +254,13 @@
   }
 
   /** Returns the ranges for which this instance is the first reachable one in rank order. */
-  private List<String> firstRanges(Membership view) {
+  private List<String> preferredRanges(Membership view) {
     RankedView known = ranked;
     if (!view.equals(known.view())) {
       known =
           new RankedView(
-              view, KeyRanges.all().stream().filter(range -> isFirst(range, view)).toList());
+              view,
+              KeyRanges.all().stream().filter(range -> isPreferredOwner(range, view)).toList());
       ranked = known;
     }
     return known.first();
@@ -271,7 +272,7 @@
    */
   private record RankedView(Membership view, List<String> first) {}
 
-  private static boolean isFirst(String range, Membership view) {
+  private static boolean isPreferredOwner(String range, Membership view) {
     return KeyRanges.rank(range, view).stream()
         .filter(view::isReachable)
         .findFirst()
@@ -280,19 +281,19 @@
   }
 
   private void flush(OwnedRange range) {
-    List<SoleClaim> open =
+    List<SoleClaim> unwritten =
         range.claims().notInTable().stream().limit(MAX_CLAIMS_PER_WRITE).toList();
-    if (open.isEmpty()) {
+    if (unwritten.isEmpty()) {
       return;
     }
     var unused =
         table
-            .read(open.stream().map(RangeRow::claim).toList())
-            .thenCompose(rows -> insertMissing(range, open, rows))
+            .read(unwritten.stream().map(RangeRow::claim).toList())
+            .thenCompose(rows -> insertMissing(range, unwritten, rows))
             .thenAccept(
                 written -> {
                   if (written) {
-                    open.forEach(claim -> range.claims().putIfAbsent(claim, true));
+                    unwritten.forEach(claim -> range.claims().putIfAbsent(claim, true));
                   } else {
                     relinquish(range);
                   }
@@ -324,8 +325,8 @@
             .map(InstanceRecord::incarnation)
             .orElse("");
     boolean present = backup.filter(view::isReachable).isPresent();
-    boolean stays = present || (next.isEmpty() && backup.isPresent());
-    if (stays || next.equals(state.backup()) || !range.pause()) {
+    boolean keepsBackup = present || (next.isEmpty() && backup.isPresent());
+    if (keepsBackup || next.equals(state.backup()) || !range.pause()) {
       return;
     }
     replaceBackup(range, state.next(state.owner(), next));
@@ -359,17 +360,17 @@
             .thenAccept(
                 written -> {
                   if (written) {
-                    Row before = range.row();
-                    range.row(new Row(before.key(), before.version() + 1, next.toCells()));
+                    Row previous = range.row();
+                    range.row(new Row(previous.key(), previous.version() + 1, next.toCells()));
                     range.resume();
-                    find.putIfAbsent(range.name(), range);
+                    ownedRanges.putIfAbsent(range.name(), range);
                   }
                 })
             .exceptionally(
                 error -> {
                   if (isKnownUnchanged(error)) {
                     range.resume();
-                    find.putIfAbsent(range.name(), range);
+                    ownedRanges.putIfAbsent(range.name(), range);
                   }
                   return null;
                 });
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
@@ -55,10 +55,11 @@
     ClaimReply[] reply = new ClaimReply[1];
     entries.compute(
         claim.key(),
-        (key, held) -> {
-          reply[0] = held == null ? reply(ClaimReply.Verdict.RUN, "") : verdictOn(held, claim);
+        (key, existing) -> {
+          reply[0] =
+              existing == null ? reply(ClaimReply.Verdict.RUN, "") : verdictOn(existing, claim);
           boolean granted = reply[0].verdict() == ClaimReply.Verdict.RUN;
-          return granted ? running(claim) : held;
+          return granted ? runningEntry(claim) : existing;
         });
     return reply[0];
   }
@@ -68,20 +69,20 @@
    * never run.
    */
   ClaimReply claimGenerated(ClaimRequest claim) {
-    Entry held = entries.get(claim.key());
-    return held == null
+    Entry existing = entries.get(claim.key());
+    return existing == null
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
-        : verdictOnGenerated(held, claim);
+        : verdictOnGenerated(existing, claim);
   }
 
-  private ClaimReply verdictOnGenerated(Entry held, ClaimRequest claim) {
-    ClaimReply verdict = verdictOn(held, claim);
+  private ClaimReply verdictOnGenerated(Entry existing, ClaimRequest claim) {
+    ClaimReply verdict = verdictOn(existing, claim);
     return verdict.verdict() == ClaimReply.Verdict.RUN
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
         : verdict;
   }
 
-  private Entry running(ClaimRequest claim) {
+  private Entry runningEntry(ClaimRequest claim) {
     return new Entry(claim, Optional.empty(), Phase.RUNNING, false, timers.nowMs());
   }
 
@@ -89,27 +90,27 @@
     return new ClaimReply(verdict, runner, Optional.empty());
   }
 
-  private ClaimReply verdictOn(Entry held, ClaimRequest claim) {
-    if (!held.claim().fingerprint().equals(claim.fingerprint())) {
+  private ClaimReply verdictOn(Entry existing, ClaimRequest claim) {
+    if (!existing.claim().fingerprint().equals(claim.fingerprint())) {
       return reply(ClaimReply.Verdict.MISMATCH, "");
     }
-    if (held.phase() == Phase.RUNNING) {
-      return verdictOnRunning(held, claim);
+    if (existing.phase() == Phase.RUNNING) {
+      return verdictOnRunning(existing, claim);
     }
-    FinishRequest finish = held.finish().orElseThrow();
+    FinishRequest finish = existing.finish().orElseThrow();
     return finish.bill().isEmpty()
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
         : new ClaimReply(ClaimReply.Verdict.REPLAY, "", finish.answer());
   }
 
-  private ClaimReply verdictOnRunning(Entry held, ClaimRequest claim) {
-    if (held.isRunBy(claim.requestId())) {
+  private ClaimReply verdictOnRunning(Entry existing, ClaimRequest claim) {
+    if (existing.isRunBy(claim.requestId())) {
       return reply(ClaimReply.Verdict.RUN, "");
     }
-    if (!isRunnerUnreachable(held.claim().runner())) {
-      return reply(ClaimReply.Verdict.JOIN, held.claim().runner());
+    if (!isRunnerUnreachable(existing.claim().runner())) {
+      return reply(ClaimReply.Verdict.JOIN, existing.claim().runner());
     }
-    return held.claim().repeatable()
+    return existing.claim().repeatable()
         ? reply(ClaimReply.Verdict.RUN, "")
         : reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "");
   }
@@ -132,10 +133,10 @@
     FinishReply.Verdict[] verdict = new FinishReply.Verdict[1];
     entries.compute(
         finish.key(),
-        (key, held) -> {
-          verdict[0] = verdictOnEnd(held, finish);
-          boolean deciding = verdict[0] == FinishReply.Verdict.HELD && canDecide(held, finish);
-          return deciding ? ended(held, finish) : held;
+        (key, existing) -> {
+          verdict[0] = verdictOnEnd(existing, finish);
+          boolean deciding = verdict[0] == FinishReply.Verdict.HELD && canDecide(existing, finish);
+          return deciding ? decidingEntry(existing, finish) : existing;
         });
     return verdict[0];
   }
@@ -144,40 +145,42 @@
    * The run that ends first counts, because its caller has an answer while the other run may still
    * fail.
    */
-  private static FinishReply.Verdict verdictOnEnd(Entry held, FinishRequest finish) {
-    if (canDecide(held, finish)) {
-      boolean decided = held != null && held.phase() == Phase.DECIDED;
+  private static FinishReply.Verdict verdictOnEnd(Entry existing, FinishRequest finish) {
+    if (canDecide(existing, finish)) {
+      boolean decided = existing != null && existing.phase() == Phase.DECIDED;
       return decided ? FinishReply.Verdict.CONFIRMED : FinishReply.Verdict.HELD;
     }
-    return held.phase() == Phase.DECIDING
+    return existing.phase() == Phase.DECIDING
         ? FinishReply.Verdict.HELD
         : FinishReply.Verdict.SUPERSEDED;
   }
 
-  private static boolean canDecide(Entry held, FinishRequest finish) {
-    return held == null
-        || held.isRunBy(finish.requestId())
-        || held.phase() == Phase.RUNNING
-        || isUnknownOutcome(held);
+  private static boolean canDecide(Entry existing, FinishRequest finish) {
+    return existing == null
+        || existing.isRunBy(finish.requestId())
+        || existing.phase() == Phase.RUNNING
+        || isUnknownOutcome(existing);
   }
 
   /**
    * Checks whether the recorded run has an unknown outcome. Such a run is not billed, so it does
    * not prevent another run from counting.
    */
-  private static boolean isUnknownOutcome(Entry held) {
-    return held.finish().filter(finish -> finish.bill().isEmpty()).isPresent();
+  private static boolean isUnknownOutcome(Entry existing) {
+    return existing.finish().filter(finish -> finish.bill().isEmpty()).isPresent();
   }
 
   /** Checks whether the decision about this run is pending. */
   boolean isPending(FinishRequest finish) {
-    Entry held = entries.get(finish.key());
-    return held != null && held.isRunBy(finish.requestId()) && held.phase() == Phase.DECIDING;
+    Entry existing = entries.get(finish.key());
+    return existing != null
+        && existing.isRunBy(finish.requestId())
+        && existing.phase() == Phase.DECIDING;
   }
 
-  private Entry ended(Entry held, FinishRequest finish) {
-    boolean same = held != null && held.isRunBy(finish.requestId());
-    ClaimRequest claim = same ? held.claim() : claimOf(finish);
+  private Entry decidingEntry(Entry existing, FinishRequest finish) {
+    boolean same = existing != null && existing.isRunBy(finish.requestId());
+    ClaimRequest claim = same ? existing.claim() : claimFrom(finish);
     return new Entry(claim, Optional.of(finish), Phase.DECIDING, false, timers.nowMs());
   }
 
@@ -185,7 +188,7 @@
    * Creates a claim from the end of a run, because a generated key is not claimed before it runs
    * and its record starts with the end of the run.
    */
-  private static ClaimRequest claimOf(FinishRequest finish) {
+  private static ClaimRequest claimFrom(FinishRequest finish) {
     return new ClaimRequest(
         finish.key(), finish.runner(), finish.requestId(), finish.fingerprint(), true);
   }
@@ -194,10 +197,10 @@
   void recordDecision(FinishRequest finish) {
     entries.compute(
         finish.key(),
-        (key, held) -> {
-          boolean same = held != null && held.isRunBy(finish.requestId());
-          boolean posted = finish.bill().isEmpty() || (same && held.posted());
-          ClaimRequest claim = same ? held.claim() : claimOf(finish);
+        (key, existing) -> {
+          boolean sameRun = existing != null && existing.isRunBy(finish.requestId());
+          boolean posted = finish.bill().isEmpty() || (sameRun && existing.posted());
+          ClaimRequest claim = sameRun ? existing.claim() : claimFrom(finish);
           return new Entry(claim, Optional.of(finish), Phase.DECIDED, posted, timers.nowMs());
         });
   }
@@ -208,15 +211,17 @@
   void recordFailure(FinishRequest finish) {
     entries.computeIfPresent(
         finish.key(),
-        (key, held) -> {
-          boolean other = !held.isRunBy(finish.requestId()) || held.phase() != Phase.RUNNING;
-          if (other) {
-            return held;
+        (key, existing) -> {
+          boolean superseded =
+              !existing.isRunBy(finish.requestId()) || existing.phase() != Phase.RUNNING;
+          if (superseded) {
+            return existing;
           }
-          boolean mayRunAgain = finish.notRun() || held.claim().repeatable();
+          boolean mayRunAgain = finish.notRun() || existing.claim().repeatable();
           return mayRunAgain
               ? null
-              : new Entry(held.claim(), Optional.of(finish), Phase.DECIDED, true, timers.nowMs());
+              : new Entry(
+                  existing.claim(), Optional.of(finish), Phase.DECIDED, true, timers.nowMs());
         });
   }
 
@@ -224,7 +229,9 @@
   void markPosted(RequestKey key) {
     entries.computeIfPresent(
         key,
-        (same, held) -> new Entry(held.claim(), held.finish(), held.phase(), true, held.atMs()));
+        (ignoredKey, existing) ->
+            new Entry(
+                existing.claim(), existing.finish(), existing.phase(), true, existing.atMs()));
   }
 
   /**
@@ -260,30 +267,32 @@
   /** Evicts answers after their retention, and decisions after a longer one. */
   void evictExpired(long answerMs, long decisionMs) {
     long nowMs = timers.nowMs();
-    entries.replaceAll((key, held) -> nowMs - held.atMs() > answerMs ? withoutAnswer(held) : held);
+    entries.replaceAll(
+        (key, existing) -> nowMs - existing.atMs() > answerMs ? withoutAnswer(existing) : existing);
     entries
         .values()
         .removeIf(
-            held -> {
-              long keptMs = held.phase() == Phase.RUNNING ? MAX_RUNNING_MS : decisionMs;
-              boolean open = held.phase() == Phase.DECIDING || !held.posted();
-              return nowMs - held.atMs() > keptMs && (held.phase() == Phase.RUNNING || !open);
+            existing -> {
+              long retentionMs = existing.phase() == Phase.RUNNING ? MAX_RUNNING_MS : decisionMs;
+              boolean unresolved = existing.phase() == Phase.DECIDING || !existing.posted();
+              return nowMs - existing.atMs() > retentionMs
+                  && (existing.phase() == Phase.RUNNING || !unresolved);
             });
   }
 
-  private static Entry withoutAnswer(Entry held) {
+  private static Entry withoutAnswer(Entry existing) {
     return new Entry(
-        held.claim(),
-        held.finish().map(FinishRequest::withoutAnswer),
-        held.phase(),
-        held.posted(),
-        held.atMs());
+        existing.claim(),
+        existing.finish().map(FinishRequest::withoutAnswer),
+        existing.phase(),
+        existing.posted(),
+        existing.atMs());
   }
 
   /** Returns the total size of the stored answers in bytes. */
   long answerBytes() {
     return entries.values().stream()
-        .flatMap(held -> held.finish().stream())
+        .flatMap(existing -> existing.finish().stream())
         .flatMap(finish -> finish.answer().stream())
         .mapToLong(answer -> answer.body().length)
         .sum();
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
@@ -101,7 +101,10 @@
 
   private void refuseForCrashes(CrashRecord record) {
     long nowMs = context.timers().nowMs();
-    Logger.info("request not sent because upstreams crashed under it: request={} crashes={}", plan.requestId(), record.describe(nowMs));
+    Logger.info(
+        "request not sent because upstreams crashed under it: request={} crashes={}",
+        plan.requestId(),
+        record.describe(nowMs));
     fail(Refusal.crashesUpstreams(record.retryAfterMs(nowMs)));
   }
 
@@ -109,7 +112,7 @@
    * Continues with a result on the caller's executor. When the exchange has finished meanwhile, the
    * result is released instead.
    */
-  private <T> void then(CompletableFuture<T> future, Consumer<T> next) {
+  private <T> void continueWith(CompletableFuture<T> future, Consumer<T> next) {
     var unused =
         future.whenComplete(
             (result, error) ->
@@ -152,7 +155,7 @@
   }
 
   private void reserve() {
-    then(
+    continueWith(
         context.budgets().account(plan.budget()).reserve(plan.reserveTokens()),
         reserved -> {
           reservation = reserved;
@@ -171,7 +174,7 @@
             request.affinity(),
             failedUpstreams,
             plan.deadlineMs());
-    then(
+    continueWith(
         context.router().route(ticket),
         assigned -> {
           assignment = assigned;
@@ -188,7 +191,8 @@
       send();
       return;
     }
-    then(context.unrepeatable().claim(plan.key(), plan.requestId()), this::onUnrepeatableClaim);
+    continueWith(
+        context.unrepeatable().claim(plan.key(), plan.requestId()), this::onUnrepeatableClaim);
   }
 
   private void onUnrepeatableClaim(Outcome outcome) {
@@ -235,8 +239,8 @@
 
   void chunk(byte[] bytes, Usage used) {
     usage = used;
-    boolean tooLong = request.streamed() && used.outputTokens() > plan.maxOutputTokens();
-    if (tooLong) {
+    boolean exceedsLimit = request.streamed() && used.outputTokens() > plan.maxOutputTokens();
+    if (exceedsLimit) {
       truncate();
       return;
     }
@@ -255,19 +259,19 @@
   }
 
   void end() {
-    Optional<StoredAnswer> whole = answer.completeAnswer();
+    Optional<StoredAnswer> completeAnswer = answer.completeAnswer();
     if (answer.status() < FIRST_ERROR_STATUS) {
       suspicion.onSuccess();
     }
     long owedTokens = plan.cost(answer.status(), usage.totalTokens());
-    finish(owedTokens, whole, answer::end);
+    finish(owedTokens, completeAnswer, answer::end);
   }
 
   /**
    * Settles the reservation and copies the bill to another instance before the end of the answer is
    * sent to the caller.
    */
-  private void finish(long usedTokens, Optional<StoredAnswer> whole, Runnable last) {
+  private void finish(long usedTokens, Optional<StoredAnswer> completeAnswer, Runnable completion) {
     finished = true;
     releaseSlot();
     List<BillPart> owed = reservation.settle(usedTokens);
@@ -275,14 +279,16 @@
     CompletableFuture<Void> copied =
         context
             .records()
-            .finish(plan, new RunOutcome(false, Optional.of(bill), whole, reservation::cancelBill));
+            .finish(
+                plan,
+                new RunOutcome(false, Optional.of(bill), completeAnswer, reservation::cancelBill));
     context.timers().after(context.settings().finishWaitMs(), () -> copied.complete(null));
     var unused =
         copied.thenAccept(
             nothing ->
                 caller.execute(
                     () -> {
-                      last.run();
+                      completion.run();
                       deregister();
                     }));
   }
@@ -298,7 +304,7 @@
         .ifPresent(restMs -> assignment.upstream().backOffUntil(context.timers().nowMs() + restMs));
     mayHaveRun |= !failure.isNotRun();
     if (failure.kind() == Kind.BROKEN) {
-      suspicion.onConnectionLost(assignment.upstream().asServing());
+      suspicion.onConnectionLost(assignment.upstream().asRegistered());
     }
     failedUpstreams.add(assignment.upstream().name());
     Logger.info(
--- a/mothrill-core/src/main/java/io/mothrill/core/request/KeyedStart.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/KeyedStart.java
@@ -60,12 +60,12 @@
    * Replays the answer of the run that was joined. When that run or its instance failed, the claim
    * is retried after the time that it takes to detect an instance failure.
    */
-  private void onJoined(Optional<StoredAnswer> found) {
+  private void onJoined(Optional<StoredAnswer> storedAnswer) {
     if (exchange.isFinished()) {
       return;
     }
-    if (found.isPresent()) {
-      exchange.replay(found);
+    if (storedAnswer.isPresent()) {
+      exchange.replay(storedAnswer);
     } else if (claims < MAX_CLAIMS) {
       context.timers().after(CLAIM_RETRY_DELAY_MS, () -> caller.execute(this::retryClaim));
     } else {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
@@ -217,7 +217,9 @@
       return;
     }
     if (timers.nowMs() - ended.atMs() > decisionMs / 2) {
-      Logger.error("run not billed because its key range could not confirm it in time: request={}", ended.finish().requestId());
+      Logger.error(
+          "run not billed because its key range could not confirm it in time: request={}",
+          ended.finish().requestId());
       settle(ended, false);
       return;
     }
@@ -235,16 +237,16 @@
   }
 
   private void settle(EndedRun ended, boolean counts) {
-    boolean own = unconfirmed.remove(ended.finish().requestId()) != null;
-    boolean kept = copiesForPeers.remove(ended.finish().requestId()) != null;
-    if (!own && !kept) {
+    boolean ownRun = unconfirmed.remove(ended.finish().requestId()) != null;
+    boolean copyForPeer = copiesForPeers.remove(ended.finish().requestId()) != null;
+    if (!ownRun && !copyForPeer) {
       return;
     }
     ended.copied().complete(null);
     if (!counts) {
       ended.outcome().cancelBill().run();
     } else if (ended.finish().bill().isPresent()) {
-      post(ended, own ? bills::add : bills::recover);
+      post(ended, ownRun ? bills::add : bills::recover);
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/QueueSettings.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/QueueSettings.java
@@ -13,8 +13,7 @@
   /**
    * Returns the default settings for both deployments.
    *
-   * @return five seconds for urgent calls, two minutes for batch calls, of which a batch call ages
-   *     after thirty seconds
+   * @return five seconds for urgent calls, two minutes for batch calls, aging after thirty seconds
    */
   public static QueueSettings standard() {
     return new QueueSettings(5_000, 120_000, 30_000);
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/SharedAdmissionPolicy.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/SharedAdmissionPolicy.java
@@ -1,8 +1,8 @@
 package io.mothrill.core.routing;
 
 /**
- * Shares all slots between both classes. It is the baseline against which
- * {@link SplitAdmissionPolicy} is compared.
+ * Shares all slots between both classes. It is the baseline against which {@link
+ * SplitAdmissionPolicy} is compared.
  */
 public final class SharedAdmissionPolicy implements AdmissionPolicy {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamRegistry.java
@@ -36,7 +36,7 @@
   private synchronized void apply(ConfigSnapshot snapshot) {
     List<Resource> upstreams = snapshot.list(ResourceKind.UPSTREAM);
     states.keySet().retainAll(upstreams.stream().map(Resource::name).toList());
-    upstreams.forEach(this::declare);
+    upstreams.forEach(this::register);
     states
         .values()
         .forEach(state -> state.markEvacuated(snapshot.isEvacuated(state.spec().domain())));
@@ -50,21 +50,21 @@
    * Adds or updates an upstream. An upstream at another address is another process, so the state of
    * the previous one is dropped.
    */
-  private void declare(Resource resource) {
+  private void register(Resource resource) {
     UpstreamSpec spec = (UpstreamSpec) resource.spec();
     states.compute(
         resource.name(),
-        (name, known) -> {
-          boolean same =
-              known != null
-                  && known.spec().host().equals(spec.host())
-                  && known.spec().port() == spec.port()
-                  && known.spec().leaving() == spec.leaving();
-          if (!same) {
+        (name, existing) -> {
+          boolean sameProcess =
+              existing != null
+                  && existing.spec().host().equals(spec.host())
+                  && existing.spec().port() == spec.port()
+                  && existing.spec().leaving() == spec.leaving();
+          if (!sameProcess) {
             return new UpstreamState(name, spec);
           }
-          known.updateSpec(spec);
-          return known;
+          existing.updateSpec(spec);
+          return existing;
         });
   }
 
@@ -96,7 +96,7 @@
    */
   public boolean isServing(RegisteredUpstream upstream) {
     return find(upstream.id())
-        .map(UpstreamState::asServing)
+        .map(UpstreamState::asRegistered)
         .filter(known -> known.host().equals(upstream.host()) && known.port() == upstream.port())
         .filter(known -> !known.leaving())
         .isPresent();
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamSelector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamSelector.java
@@ -66,16 +66,16 @@
     if (eligible.size() <= sampleSize) {
       return eligible;
     }
-    List<UpstreamState> left = new ArrayList<>(eligible);
-    List<UpstreamState> taken = new ArrayList<>(sampleSize);
+    List<UpstreamState> remaining = new ArrayList<>(eligible);
+    List<UpstreamState> drawn = new ArrayList<>(sampleSize);
     for (int count = 0; count < sampleSize; count++) {
-      int last = left.size() - 1;
-      int index = random.nextInt(left.size());
-      taken.add(left.get(index));
-      left.set(index, left.get(last));
-      left.remove(last);
+      int last = remaining.size() - 1;
+      int index = random.nextInt(remaining.size());
+      drawn.add(remaining.get(index));
+      remaining.set(index, remaining.get(last));
+      remaining.remove(last);
     }
-    return taken;
+    return drawn;
   }
 
   private Scored score(UpstreamState upstream, RoutingRequest request, long nowMs) {
--- a/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/routing/UpstreamState.java
@@ -57,7 +57,7 @@
    *
    * @return the upstream as it is declared now
    */
-  public RegisteredUpstream asServing() {
+  public RegisteredUpstream asRegistered() {
     UpstreamSpec declared = spec();
     return new RegisteredUpstream(
         name,
@@ -147,9 +147,10 @@
     return report
         .get()
         .map(
-            seen -> {
-              double others = Math.max(0, seen.running() + seen.queued() - ownAtReport.get());
-              double age = Math.min(1, Math.max(0, (double) (nowMs - seen.atMs()) / fadeMs));
+            loadReport -> {
+              double others =
+                  Math.max(0, loadReport.running() + loadReport.queued() - ownAtReport.get());
+              double age = Math.min(1, Math.max(0, (double) (nowMs - loadReport.atMs()) / fadeMs));
               return others * (1 - age);
             })
         .orElse(0.0);
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -14,7 +14,7 @@
   @Test
   void countsGrantOnceWhenItsAnswerWasLost() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     var lost = fixture.account().reserve(100);
     assertThat(lost.isCompletedExceptionally()).isTrue();
@@ -33,7 +33,7 @@
   @Test
   void holdsNoTokenTwiceWhenTheAnswerToReturnWasLost() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     // WHEN
@@ -50,7 +50,7 @@
   @Test
   void returnsWhatAnIdleAccountDoesNotNeed() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
     // WHEN
     fixture.timers.advanceMs(600_000);
@@ -62,7 +62,7 @@
   @Test
   void holdsAtMostShareOfWhatIsLeftHoweverOftenItIsRefilled() {
     // GIVEN
-    fixture.pay(20_000);
+    fixture.topUp(20_000);
     // WHEN
     for (int call = 0; call < 100; call++) {
       fixture.account().reserve(10).join().release();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -20,7 +20,7 @@
   @Test
   void takesTokensFromThePlatformAndGivesBackWhatWasNotUsed() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     // WHEN
     Reservation reservation = fixture.account().reserve(100).join();
     long heldTokens = fixture.account().availableTokens();
@@ -34,7 +34,7 @@
   @Test
   void isRefusedAsExhaustedWhenTheBudgetHasNoRoom() {
     // GIVEN
-    fixture.pay(99);
+    fixture.topUp(99);
     // WHEN
     CompletableFuture<Reservation> refused = fixture.account().reserve(100);
     // THEN
@@ -45,7 +45,7 @@
   @Test
   void isRefusedAsOutOfReachWhenThePlatformIsUnreachable() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
     CompletableFuture<Reservation> refused = fixture.account().reserve(100);
@@ -59,7 +59,7 @@
   @Test
   void isNotRefusedByRoundThatStartedBeforeIt() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.platformCalls.setDelayMs(10);
     CompletableFuture<Reservation> first = fixture.account().reserve(100);
     fixture.timers.advanceMs(5);
@@ -103,7 +103,7 @@
   @Test
   void keepsTokensCollectedForOneRequestWhenAnotherIsSettled() {
     // GIVEN
-    fixture.pay(1_000);
+    fixture.topUp(1_000);
     final Reservation running = fixture.account().reserve(100).join();
     fixture.platformCalls.setDelayMs(10);
     TokenPool loan = new TokenPool(new AllotmentId("konya-2.1", "branch"), () -> Long.MAX_VALUE);
@@ -121,7 +121,7 @@
   @Test
   void stopsBeforeTheLeaseEndsWhileThePlatformIsUnreachable() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.account().reserve(100).join().release();
     fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
@@ -48,7 +48,7 @@
     timers.advanceMs(1);
   }
 
-  void pay(long tokens) {
+  void topUp(long tokens) {
     Row row = table.read(List.of(BudgetTables.budget(BUDGET))).join().get(0);
     Row topUp = Row.absent(BudgetTables.topUp(BUDGET, "topup-" + topUpCount++));
     var unused =
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
@@ -18,7 +18,7 @@
   private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
   private AllotmentId granted() {
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
     return fixture.allotment();
   }
