--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BudgetController.java
@@ -129,12 +129,12 @@
   private void rebalance(BudgetAccount account) {
     account.tickRate();
     account.removeSpentPools(allotments.poolOf(account.budget()));
-    long keepTokens = sizing.tokensToKeep(account.ratePerSecond());
+    long tokensToKeep = sizing.tokensToKeep(account.ratePerSecond());
     long availableTokens = account.availableTokens();
-    if (availableTokens < keepTokens / 2) {
+    if (availableTokens < tokensToKeep / 2) {
       account.refill();
-    } else if (availableTokens > 2 * keepTokens) {
-      returnSurplus(account, availableTokens - keepTokens);
+    } else if (availableTokens > 2 * tokensToKeep) {
+      returnSurplus(account, availableTokens - tokensToKeep);
     }
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -56,7 +56,7 @@
   /**
    * Creates the controller and starts its periodic rounds.
    *
-   * @param membership where the view is published
+   * @param membership the published value of the membership
    * @param config the current configuration of this instance
    * @param configController fetches configuration changes from peers that have a newer revision
    * @param list the platform's instance list
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Announces this instance in every round. In a large fleet only some instances read the whole
-   * list in a round.
+   * Announces this instance, and reads the instance list. In a large fleet only some instances read
+   * the whole list each time, but every instance is announced.
    */
   private void pollList() {
     if (pacing.isTurn()) {
@@ -224,7 +224,7 @@
     int knownPeers = Math.max(1, membership.read().others().size());
     long roundsPerPeer = 1L + (knownPeers - 1) / FAN_OUT;
     long oldestMs = timers.nowMs() - SECOND_MS * MISSED_ROUNDS * roundsPerPeer;
-    lastHeardMs.values().removeIf(heard -> heard < oldestMs);
+    lastHeardMs.values().removeIf(lastHeard -> lastHeard < oldestMs);
     peerRevisions.keySet().retainAll(lastHeardMs.keySet());
     membership.update(
         view ->
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
@@ -147,7 +147,7 @@
     RangeRow next = RangeRow.of(row).next(self(), backup);
     return seedBackup(range, next, content)
         .thenCompose(
-            primed -> primed ? table.write(Transaction.on(row, next.toCells())) : falseFuture())
+            seeded -> seeded ? table.write(Transaction.on(row, next.toCells())) : falseFuture())
         .thenCompose(
             written -> {
               if (!written) {
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeContent.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeContent.java
@@ -41,12 +41,12 @@
    */
   public RangeContent trimmed() {
     long leftBytes = MAX_ANSWER_BYTES;
-    List<FinishRequest> kept = new ArrayList<>();
+    List<FinishRequest> trimmedRuns = new ArrayList<>();
     for (FinishRequest run : runs) {
       long bytes = run.answer().map(StoredAnswer::body).map(body -> body.length).orElse(0);
-      kept.add(bytes <= leftBytes ? run : run.withoutAnswer());
+      trimmedRuns.add(bytes <= leftBytes ? run : run.withoutAnswer());
       leftBytes -= bytes <= leftBytes ? bytes : 0;
     }
-    return new RangeContent(claims, kept);
+    return new RangeContent(claims, trimmedRuns);
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -263,14 +263,14 @@
               KeyRanges.all().stream().filter(range -> isPreferredOwner(range, view)).toList());
       ranked = known;
     }
-    return known.first();
+    return known.preferredRanges();
   }
 
   /**
    * Caches the ranking per membership view, because the cost of ranking all ranges grows with the
    * fleet.
    */
-  private record RankedView(Membership view, List<String> first) {}
+  private record RankedView(Membership view, List<String> preferredRanges) {}
 
   private static boolean isPreferredOwner(String range, Membership view) {
     return KeyRanges.rank(range, view).stream()
@@ -337,8 +337,8 @@
         acquirer
             .seedBackup(range.name(), next, range.content())
             .thenAccept(
-                primed -> {
-                  if (primed) {
+                seeded -> {
+                  if (seeded) {
                     changeRow(range, next);
                   } else {
                     range.resume();
--- a/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/Exchange.java
@@ -39,7 +39,7 @@
   private final AnswerDelivery answer;
   private final Set<String> failedUpstreams = new HashSet<>();
   private CallPlan plan;
-  private RequestCrashGuard suspicion;
+  private RequestCrashGuard crashGuard;
   private Reservation reservation;
   private Assignment assignment;
   private UpstreamExchange upstream;
@@ -72,7 +72,7 @@
       return;
     }
     caller.identify(plan.requestId(), plan.key().key());
-    suspicion = new RequestCrashGuard(context.crashes(), plan::fingerprint, context.timers());
+    crashGuard = new RequestCrashGuard(context.crashes(), plan::fingerprint, context.timers());
     long timeoutMs = plan.deadlineMs() - context.timers().nowMs();
     deadline = context.timers().after(timeoutMs, () -> caller.execute(this::onDeadline));
     if (plan.keyed()) {
@@ -89,7 +89,7 @@
    * upstreams; otherwise refuses the request.
    */
   private void unlessSuspectedOfCrashes(Runnable next) {
-    suspicion.decide(
+    crashGuard.decide(
         caller, () -> ifActive(next), record -> ifActive(() -> refuseForCrashes(record)));
   }
 
@@ -165,7 +165,7 @@
   }
 
   private void route() {
-    RoutingRequest ticket =
+    RoutingRequest routingRequest =
         new RoutingRequest(
             plan.requestId(),
             request.service(),
@@ -175,7 +175,7 @@
             failedUpstreams,
             plan.deadlineMs());
     continueWith(
-        context.router().route(ticket),
+        context.router().route(routingRequest),
         assigned -> {
           assignment = assigned;
           unlessSuspectedOfCrashes(this::claimBeforeSending);
@@ -261,7 +261,7 @@
   void end() {
     Optional<StoredAnswer> completeAnswer = answer.completeAnswer();
     if (answer.status() < FIRST_ERROR_STATUS) {
-      suspicion.onSuccess();
+      crashGuard.onSuccess();
     }
     long owedTokens = plan.cost(answer.status(), usage.totalTokens());
     finish(owedTokens, completeAnswer, answer::end);
@@ -301,10 +301,12 @@
     }
     failure
         .retryAfterMs()
-        .ifPresent(restMs -> assignment.upstream().backOffUntil(context.timers().nowMs() + restMs));
+        .ifPresent(
+            retryAfterMs ->
+                assignment.upstream().backOffUntil(context.timers().nowMs() + retryAfterMs));
     mayHaveRun |= !failure.isNotRun();
     if (failure.kind() == Kind.BROKEN) {
-      suspicion.onConnectionLost(assignment.upstream().asRegistered());
+      crashGuard.onConnectionLost(assignment.upstream().asRegistered());
     }
     failedUpstreams.add(assignment.upstream().name());
     Logger.info(
--- a/mothrill-core/src/main/java/io/mothrill/core/request/GeneratedKey.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/GeneratedKey.java
@@ -35,7 +35,7 @@
    */
   public static Optional<String> issuerOf(RequestKey key) {
     int end = key.key().indexOf(MARK, 1);
-    boolean minted = key.key().startsWith(MARK) && end > 1;
-    return minted ? Optional.of(key.key().substring(1, end)) : Optional.empty();
+    boolean generated = key.key().startsWith(MARK) && end > 1;
+    return generated ? Optional.of(key.key().substring(1, end)) : Optional.empty();
   }
 }
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -12,7 +12,7 @@
   // Guards against counting a grant twice, or losing it, when the response of the platform was
   // lost: the next request must find the granted tokens.
   @Test
-  void countsGrantOnceWhenItsAnswerWasLost() {
+  void countsGrantOnceWhenItsResponseWasLost() {
     // GIVEN
     fixture.topUp(100_000);
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
@@ -31,7 +31,7 @@
   // back to the pool at once, they could be held here and granted to another instance. They stay
   // out of the pool until the row shows the outcome.
   @Test
-  void holdsNoTokenTwiceWhenTheAnswerToReturnWasLost() {
+  void holdsNoTokenTwiceWhenTheResponseToReturnWasLost() {
     // GIVEN
     fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void returnsWhatAnIdleAccountDoesNotNeed() {
+  void returnsSurplusOfIdleAccount() {
     // GIVEN
     fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void holdsAtMostShareOfWhatIsLeftHoweverOftenItIsRefilled() {
+  void holdsAtMostShareOfRemainingTokensAfterManyRefills() {
     // GIVEN
     fixture.topUp(20_000);
     // WHEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -18,7 +18,7 @@
   private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
   @Test
-  void takesTokensFromThePlatformAndGivesBackWhatWasNotUsed() {
+  void requestsTokensFromThePlatformAndReturnsUnusedOnes() {
     // GIVEN
     fixture.topUp(10_000);
     // WHEN
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void isRefusedAsExhaustedWhenTheBudgetHasNoRoom() {
+  void isRefusedAsExhaustedWhenTheBudgetHasTooFewTokens() {
     // GIVEN
     fixture.topUp(99);
     // WHEN
@@ -75,15 +75,15 @@
   // waiting one: granted tokens are in the pool for a moment, where any request can take them. The
   // waiting request would be told that the budget is exhausted although nearly all of it is left.
   @Test
-  void isNotRefusedWhenAnotherRequestTookWhatWasGrantedForIt() {
+  void isNotRefusedWhenAnotherRequestTookTheTokensGrantedForIt() {
     // GIVEN
     TokenPool pool = new TokenPool(new AllotmentId("konya-1.1", "branch"), () -> Long.MAX_VALUE);
     List<Optional<Reservation>> taken = new ArrayList<>();
     TokenSource platform =
-        (account, need) -> {
-          pool.put(need.needTokens());
+        (account, demand) -> {
+          pool.put(demand.needTokens());
           if (taken.isEmpty()) {
-            taken.add(account.tryReserve(need.needTokens()));
+            taken.add(account.tryReserve(demand.needTokens()));
           }
           return CompletableFuture.completedFuture(TokenSource.Result.ADDED);
         };
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/LedgerPosterTest.java
@@ -35,7 +35,7 @@
   // Guards against billing a request twice when the batch was written but the response was lost and
   // the batch is retried.
   @Test
-  void writesBatchOnceWhenItsAnswerWasLost() {
+  void writesBatchOnceWhenItsResponseWasLost() {
     // GIVEN
     final var posted = fixture.budgets.bills().add(granted(), BILL);
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
@@ -30,7 +30,7 @@
   // Guards against losing a part of a bill when an instance holds two slices of one allotment: the
   // ledger accepts one bill per run and allotment, so the parts must be combined.
   @Test
-  void addsUpPartsOfTheSameAllotment() {
+  void combinesPartsOfTheSameAllotment() {
     // GIVEN
     Reservation reservation =
         new Reservation(
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void putsEverythingBackWhenTheRunDoesNotCount() {
+  void returnsAllTokensWhenTheRunDoesNotCount() {
     // GIVEN
     TokenPool pool = pool(OWN);
     Reservation reservation = new Reservation(List.of(new Reservation.Part(pool, 100)), () -> {});
--- a/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
@@ -43,7 +43,7 @@
   // Guards against refusing requests too early: the load balancer still sends requests for a while
   // after readiness fails.
   @Test
-  void stillTakesRequestsUntilTheBalancerHadTimeToNotice() {
+  void acceptsRequestsUntilTheLoadBalancerHasHadTimeToNotice() {
     // WHEN
     final var done = drain.drain();
     timers.advanceMs(2_999);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void waitsForTheLastRequestBeforeItHandsOver() {
+  void waitsForTheLastRequestBeforeHandOver() {
     // GIVEN
     final var done = drain.drain();
     timers.advanceMs(30_000);
@@ -73,7 +73,7 @@
   // Guards against a process that never exits because the platform is unreachable and nothing can
   // be handed over. Its bills are stored at other instances.
   @Test
-  void endsInBoundedTimeWhenTheHandOverDoesNotSucceed() {
+  void endsInBoundedTimeWhenHandOverFails() {
     // GIVEN
     work.idle = true;
     final var done = drain.drain();
@@ -84,7 +84,7 @@
   }
 
   @Test
-  void changesNothingWhenItIsAskedTwice() {
+  void secondDrainCallHasNoEffect() {
     // WHEN
     var first = drain.drain();
     timers.advanceMs(1_000);
--- a/mothrill-core/src/test/java/io/mothrill/core/peer/RendezvousHashTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/peer/RendezvousHashTest.java
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void placeOfAnInstanceIsItsRank() {
+  void rankOfInstanceMatchesItsPositionInRanking() {
     List<InstanceRecord> all =
         IntStream.range(0, 20).mapToObj(RendezvousHashTest::instance).toList();
     List<InstanceRecord> ranked = RendezvousHash.rank("i-1@5", all);
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void servesUrgentCallsBeforeBatchCallsThatCameFirst() {
+  void servesUrgentCallsBeforeBatchCallsQueuedEarlier() {
     // GIVEN
     declare(false);
     Assignment running = route("first", "a", Priority.BATCH).join();
@@ -64,7 +64,7 @@
   // Guards against starving a small team: its only call must not wait for all queued calls of a
   // large team.
   @Test
-  void letsTeamsTakeTurns() {
+  void servesTeamsRoundRobin() {
     // GIVEN
     declare(false);
     Assignment slot = route("first", "large", Priority.URGENT).join();
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/SplitAdmissionPolicyTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/SplitAdmissionPolicyTest.java
@@ -40,7 +40,7 @@
   // Guards against aged batch calls that displace urgent calls: they get one more slot, not all
   // slots.
   @Test
-  void givesAgedBatchCallsOneSlotMoreAndNoMoreThanThat() {
+  void admitsAgedBatchCallsToExactlyOneMoreSlot() {
     // GIVEN
     begin(Priority.BATCH, 7);
     // WHEN
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void letsReportOfOthersCallsFadeWithItsAge() {
+  void reducesWeightOfLoadReportWithItsAge() {
     // GIVEN
     upstream.report(new LoadReport(7, 0, false, 0));
     // THEN
