--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
@@ -17,10 +17,10 @@
 import java.util.function.Function;
 
 /**
- * Lends tokens to other instances, and takes back what they do not need.
+ * Lends tokens to other instances and accepts the return of unused ones.
  *
- * <p>Tokens leave this instance's pool before the reply is sent. A borrower that missed the reply
- * asks again under the same transfer id and gets the same tokens.
+ * <p>Tokens are removed from the pool of this instance before the reply is sent. A borrower that
+ * did not receive the reply repeats the request with the same transfer id and gets the same tokens.
  */
 public final class Lender {
 
@@ -50,14 +50,15 @@
   }
 
   private CompletableFuture<PeerMessage> onBorrow(BorrowRequest request) {
-    Optional<BorrowReply> before = loanReplies.find(request.transferId());
-    if (before.isPresent()) {
-      return CompletableFuture.completedFuture(before.get());
+    Optional<BorrowReply> cachedReply = loanReplies.find(request.transferId());
+    if (cachedReply.isPresent()) {
+      return CompletableFuture.completedFuture(cachedReply.get());
     }
-    CompletableFuture<PeerMessage> first = new CompletableFuture<>();
-    CompletableFuture<PeerMessage> running = inFlight.putIfAbsent(request.transferId(), first);
-    if (running != null) {
-      return running;
+    CompletableFuture<PeerMessage> pendingReply = new CompletableFuture<>();
+    CompletableFuture<PeerMessage> inFlightReply =
+        inFlight.putIfAbsent(request.transferId(), pendingReply);
+    if (inFlightReply != null) {
+      return inFlightReply;
     }
     var unused =
         ensureAvailable(request)
@@ -65,12 +66,15 @@
                 sure -> {
                   BorrowReply reply = lend(request, sure);
                   inFlight.remove(request.transferId());
-                  first.complete(reply);
+                  pendingReply.complete(reply);
                 });
-    return first;
+    return pendingReply;
   }
 
-  /** Asks the platform when there is too little here, and says whether that could be asked. */
+  /**
+   * Requests tokens from the platform when too few are available here, and returns whether the
+   * platform responded.
+   */
   private CompletableFuture<Boolean> ensureAvailable(BorrowRequest request) {
     BudgetAccount account = accounts.apply(request.budget());
     if (!request.mayGrow() || account.availableTokens() >= request.needTokens()) {
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -26,21 +26,22 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the blackboard's view of the fleet, from the platform's list and from heartbeats.
+ * Maintains the membership view from the platform's instance list and from heartbeats.
  *
- * <p>The list says who belongs to the fleet; heartbeats say who can be reached. Each round asks at
- * most {@link #FAN_OUT} peers, so its cost does not grow with the fleet.
+ * <p>The list determines which instances belong to the fleet; heartbeats determine which are
+ * reachable. Each round sends heartbeats to at most {@link #FAN_OUT} peers, so its cost does not
+ * grow with the fleet.
  */
 public final class MembershipController {
 
-  /** How many peers one round of heartbeats asks. */
+  /** The number of peers to which one round of heartbeats is sent. */
   public static final int FAN_OUT = 8;
 
   private static final int MISSED_ROUNDS = 4;
   private static final int LIST_EVERY_ROUNDS = 2;
   private static final long SECOND_MS = 1_000;
 
-  private final PublishedValue<Membership> section;
+  private final PublishedValue<Membership> membership;
   private final PublishedValue<ConfigSnapshot> config;
   private final ConfigController configController;
   private final InstanceList list;
@@ -53,19 +54,19 @@
   private long round;
 
   /**
-   * Creates the controller and starts its rounds.
+   * Creates the controller and starts its periodic rounds.
    *
-   * @param section where the view is published
-   * @param config the configuration in force here
-   * @param configController takes up configuration that a peer has first
-   * @param list the platform's list
-   * @param links the way to peers
-   * @param dispatcher where heartbeats from peers are served
-   * @param timers the time
-   * @param random chooses whom to ask
+   * @param membership the published value of the membership
+   * @param config the current configuration of this instance
+   * @param configController fetches configuration changes from peers that have a newer revision
+   * @param list the platform's instance list
+   * @param links sends requests to peers
+   * @param dispatcher where the handlers of heartbeats are registered
+   * @param timers the clock and timer service
+   * @param random selects the peers of a round
    */
   public MembershipController(
-      PublishedValue<Membership> section,
+      PublishedValue<Membership> membership,
       PublishedValue<ConfigSnapshot> config,
       ConfigController configController,
       InstanceList list,
@@ -73,14 +74,14 @@
       PeerDispatcher dispatcher,
       Timers timers,
       Random random) {
-    this.section = section;
+    this.membership = membership;
     this.config = config;
     this.configController = configController;
     this.list = list;
     this.links = links;
     this.timers = timers;
     this.random = random;
-    this.pacing = new FleetPacing(section, random);
+    this.pacing = new FleetPacing(membership, random);
     dispatcher.on(Heartbeat.class, this::onHeartbeat);
     dispatcher.on(ChangesRequest.class, this::onChangesRequest);
     timers.every(SECOND_MS, this::runRound);
@@ -91,44 +92,48 @@
     if (round++ % LIST_EVERY_ROUNDS == 0) {
       pollList();
     }
-    List<InstanceRecord> others = new ArrayList<>(section.read().others());
+    List<InstanceRecord> others = new ArrayList<>(membership.read().others());
     Collections.shuffle(others, random);
     others.stream().limit(FAN_OUT).forEach(this::sendHeartbeat);
     refreshReachable();
   }
 
-  /** Every instance stays announced; in a large fleet only some read the whole list each time. */
+  /**
+   * Announces this instance, and reads the instance list. In a large fleet only some instances read
+   * the whole list each time, but every instance is announced.
+   */
   private void pollList() {
     if (pacing.isTurn()) {
       readList();
     } else {
-      var unused = list.announce(section.read().self()).exceptionally(error -> null);
+      var unused = list.announce(membership.read().self()).exceptionally(error -> null);
     }
   }
 
   private void readList() {
     var unused =
-        list.announce(section.read().self())
+        list.announce(membership.read().self())
             .thenCompose(nothing -> list.list())
             .whenComplete(
                 (records, error) -> {
                   if (error == null) {
                     applyList(records);
                   } else {
-                    Logger.debug("instance list not read: {}", error.getMessage());
+                    Logger.debug("failed to read the instance list: {}", error.getMessage());
                   }
                 });
   }
 
   private void applyList(List<InstanceRecord> records) {
-    section.update(view -> mergeList(view, records));
+    membership.update(view -> mergeList(view, records));
   }
 
   /**
-   * Takes the list, and keeps whoever answers although the list has forgotten it.
+   * Applies the list, and retains reachable instances that it does not contain.
    *
-   * <p>Failure: after an outage the list is read before all instances have announced themselves
-   * again. Symptom: a live instance counts as gone, and others take over what it still holds.
+   * <p>After an outage the list may be read before all instances have announced themselves again.
+   * Without this, a live instance would be considered as gone, and others would take over what it
+   * still holds.
    */
   private static Membership mergeList(Membership view, List<InstanceRecord> records) {
     Set<String> listed = records.stream().map(InstanceRecord::id).collect(Collectors.toSet());
@@ -154,7 +159,10 @@
             .exceptionally(error -> handleFailure(peer, error));
   }
 
-  /** A peer whose process has ended is not waited for. */
+  /**
+   * Marks a peer as unreachable at once when its process has ended, instead of waiting for missed
+   * heartbeats.
+   */
   private Void handleFailure(InstanceRecord peer, Throwable error) {
     boolean gone = Failures.unwrap(error) instanceof PeerException known && known.isGone();
     if (gone) {
@@ -165,7 +173,7 @@
   }
 
   private Heartbeat ownHeartbeat() {
-    return new Heartbeat(section.read().self(), config.read().revision());
+    return new Heartbeat(membership.read().self(), config.read().revision());
   }
 
   private CompletableFuture<PeerMessage> onHeartbeat(Heartbeat heartbeat) {
@@ -177,13 +185,16 @@
     InstanceRecord peer = heartbeat.self();
     lastHeardMs.put(peer.incarnation(), timers.nowMs());
     peerRevisions.put(peer.incarnation(), heartbeat.configRevision());
-    section.update(view -> mergePeer(view, peer));
+    membership.update(view -> mergePeer(view, peer));
     if (heartbeat.configRevision() > config.read().revision()) {
       configController.catchUp((revision, limit) -> changesOf(peer, revision, limit));
     }
   }
 
-  /** A peer's own word about itself is newer than the platform's list, which lags. */
+  /**
+   * Applies a peer's record of itself, which is newer than its record in the platform's list,
+   * because the list lags.
+   */
   private static Membership mergePeer(Membership view, InstanceRecord peer) {
     if (view.isReachable(peer) && view.others().contains(peer)) {
       return view;
@@ -210,30 +221,32 @@
   }
 
   private void refreshReachable() {
-    int known = Math.max(1, section.read().others().size());
-    long roundsPerPeer = 1L + (known - 1) / FAN_OUT;
+    int knownPeers = Math.max(1, membership.read().others().size());
+    long roundsPerPeer = 1L + (knownPeers - 1) / FAN_OUT;
     long oldestMs = timers.nowMs() - SECOND_MS * MISSED_ROUNDS * roundsPerPeer;
-    lastHeardMs.values().removeIf(heard -> heard < oldestMs);
+    lastHeardMs.values().removeIf(lastHeard -> lastHeard < oldestMs);
     peerRevisions.keySet().retainAll(lastHeardMs.keySet());
-    section.update(
+    membership.update(
         view ->
             view.reachable().equals(lastHeardMs.keySet())
                 ? view
                 : new Membership(view.self(), view.others(), Set.copyOf(lastHeardMs.keySet())));
   }
 
-  /** Marks this instance as leaving and tells the platform at once. */
+  /**
+   * Marks this instance as leaving and notifies the platform and the reachable peers immediately.
+   */
   public void leave() {
-    section.update(
+    membership.update(
         view -> new Membership(view.self().asLeaving(), view.others(), view.reachable()));
     readList();
-    section.read().reachableOthers().forEach(this::sendHeartbeat);
+    membership.read().reachableOthers().forEach(this::sendHeartbeat);
   }
 
   /**
-   * Says how far other instances have come with the configuration.
+   * Returns the configuration revisions of other instances.
    *
-   * @return revisions in force by incarnation, of the instances that answer
+   * @return the revision in use by incarnation, for instances that are reachable
    */
   public Map<String, Long> peerRevisions() {
     return Map.copyOf(peerRevisions);
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeBackup.java
@@ -17,16 +17,17 @@
 /**
  * Acknowledges decisions for the owners of other ranges.
  *
- * <p>Failure: an owner is cut off and goes on deciding after another has taken its range. Symptom:
- * a ticket is called twice, or a key is billed twice. Once a range is fenced, this backup
- * acknowledges nothing more of that epoch; all that it had acknowledged goes to whoever fenced it.
+ * <p>An owner that is partitioned could continue to decide after another instance has acquired its
+ * range, and an unrepeatable request would run twice or a key would be billed twice. Once a range
+ * is fenced, this backup acknowledges no more decisions of that epoch, and everything that it had
+ * acknowledged is passed to the instance that fenced it.
  */
 final class RangeBackup {
 
   private final PublishedValue<Membership> members;
   private final Timers timers;
   private final long retentionMs;
-  private final Map<String, Replica> ranges = new HashMap<>();
+  private final Map<String, Replica> replicas = new HashMap<>();
 
   RangeBackup(
       PublishedValue<Membership> members,
@@ -58,32 +59,37 @@
     return CompletableFuture.completedFuture(message);
   }
 
-  /** A replacement at the same address knows nothing of what its predecessor acknowledged. */
+  /**
+   * Checks whether a message is for this incarnation. A replacement at the same address does not
+   * know what its predecessor acknowledged.
+   */
   private boolean isForThisIncarnation(String backup) {
     return members.read().self().incarnation().equals(backup);
   }
 
   private synchronized CompletableFuture<PeerMessage> onCopy(CopyRange copy) {
-    Replica held = ranges.computeIfAbsent(copy.range(), range -> new Replica());
-    if (held.fencedEpoch >= copy.epoch() || !isForThisIncarnation(copy.backup())) {
+    Replica replica = replicas.computeIfAbsent(copy.range(), range -> new Replica());
+    if (replica.fencedEpoch >= copy.epoch() || !isForThisIncarnation(copy.backup())) {
       return reply(new PeerMessage.Refused("range is fenced"));
     }
     store(copy.range(), copy.content());
     return reply(new PeerMessage.Done());
   }
 
-  /** Keeps decisions, whether as a backup or as an owner that has lost its range. */
+  /** Stores decisions, either as a backup or as an owner that has lost its range. */
   synchronized void store(String range, RangeContent content) {
-    Replica held = ranges.computeIfAbsent(range, name -> new Replica());
+    Replica replica = replicas.computeIfAbsent(range, name -> new Replica());
     long nowMs = timers.nowMs();
     content
         .claims()
-        .forEach(claim -> held.claims.putIfAbsent(claim.key(), new Timestamped<>(claim, nowMs)));
-    content.runs().forEach(run -> held.runs.putIfAbsent(run.key(), new Timestamped<>(run, nowMs)));
+        .forEach(claim -> replica.claims.putIfAbsent(claim.key(), new Timestamped<>(claim, nowMs)));
+    content
+        .runs()
+        .forEach(run -> replica.runs.putIfAbsent(run.key(), new Timestamped<>(run, nowMs)));
   }
 
   synchronized RangeContent contentOf(String range) {
-    return ranges.getOrDefault(range, new Replica()).content();
+    return replicas.getOrDefault(range, new Replica()).content();
   }
 
   private CompletableFuture<PeerMessage> onFence(FenceRange request) {
@@ -92,21 +98,24 @@
         : reply(new PeerMessage.Refused("another incarnation is meant"));
   }
 
-  /** Refuses the owner of an epoch from now on, and gives what was acknowledged. */
+  /**
+   * Fences the owner of an epoch, so that its decisions are refused, and returns what was
+   * acknowledged.
+   */
   synchronized RangeContent fence(String range, long epoch) {
-    Replica held = ranges.computeIfAbsent(range, name -> new Replica());
-    held.fencedEpoch = Math.max(held.fencedEpoch, epoch);
-    return held.content();
+    Replica replica = replicas.computeIfAbsent(range, name -> new Replica());
+    replica.fencedEpoch = Math.max(replica.fencedEpoch, epoch);
+    return replica.content();
   }
 
   synchronized void evictExpired() {
     long oldestMs = timers.nowMs() - retentionMs;
-    ranges
+    replicas
         .values()
         .forEach(
-            held -> {
-              held.claims.values().removeIf(entry -> entry.atMs() < oldestMs);
-              held.runs.values().removeIf(entry -> entry.atMs() < oldestMs);
+            replica -> {
+              replica.claims.values().removeIf(entry -> entry.atMs() < oldestMs);
+              replica.runs.values().removeIf(entry -> entry.atMs() < oldestMs);
             });
   }
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -42,7 +42,7 @@
   private volatile RankedView ranked = new RankedView(null, List.of());
   private final Set<String> lostRanges = ConcurrentHashMap.newKeySet();
   private final Map<String, Long> nextAcquireMs = new ConcurrentHashMap<>();
-  private final Map<String, OwnedRange> find = new ConcurrentHashMap<>();
+  private final Map<String, OwnedRange> ownedRanges = new ConcurrentHashMap<>();
   private final Map<String, CompletableFuture<Optional<OwnedRange>>> acquiring =
       new ConcurrentHashMap<>();
 
@@ -63,36 +63,36 @@
     this.ownBackup = ownBackup;
   }
 
-  /** Gives a range that is owned here already, or tries to take it. */
+  /** Returns a range that is owned already, or tries to acquire it. */
   CompletableFuture<Optional<OwnedRange>> acquire(String range) {
-    OwnedRange held = find.get(range);
-    if (held != null) {
-      return CompletableFuture.completedFuture(Optional.of(held));
+    OwnedRange ownedRange = ownedRanges.get(range);
+    if (ownedRange != null) {
+      return CompletableFuture.completedFuture(Optional.of(ownedRange));
     }
     CompletableFuture<Optional<OwnedRange>> attempt = new CompletableFuture<>();
-    CompletableFuture<Optional<OwnedRange>> running = acquiring.putIfAbsent(range, attempt);
-    if (running != null) {
-      return running;
+    CompletableFuture<Optional<OwnedRange>> inProgress = acquiring.putIfAbsent(range, attempt);
+    if (inProgress != null) {
+      return inProgress;
     }
     var unused =
         acquirer
             .tryAcquire(range)
             .thenAccept(
-                taken -> {
-                  taken.ifPresent(found -> find.put(range, found));
+                acquired -> {
+                  acquired.ifPresent(found -> ownedRanges.put(range, found));
                   acquiring.remove(range);
-                  attempt.complete(taken);
+                  attempt.complete(acquired);
                 });
     return attempt;
   }
 
-  /** Gives a range only if it is owned here already. */
+  /** Returns a range only if it is owned already. */
   Optional<OwnedRange> find(String range) {
-    return Optional.ofNullable(find.get(range));
+    return Optional.ofNullable(ownedRanges.get(range));
   }
 
   List<OwnedRange> all() {
-    return List.copyOf(find.values());
+    return List.copyOf(ownedRanges.values());
   }
 
   /** Decides whether a run that has ended counts. */
@@ -107,8 +107,8 @@
     }
     return replicate(range, new RangeContent(List.of(), List.of(finish)))
         .thenApply(
-            yes -> {
-              if (!yes) {
+            acknowledged -> {
+              if (!acknowledged) {
                 return FinishReply.Verdict.HELD;
               }
               range.runs().recordDecision(finish);
@@ -116,7 +116,10 @@
             });
   }
 
-  /** Asks the backup to acknowledge; an owner that has none decides alone, under its lease. */
+  /**
+   * Requests an acknowledgement from the backup. An owner without a backup decides alone, under its
+   * lease.
+   */
   private CompletableFuture<Boolean> replicate(OwnedRange range, RangeContent content) {
     RangeRow state = range.state();
     if (!lease.isValid() || range.isPaused()) {
@@ -142,24 +145,24 @@
   }
 
   /**
-   * Gives a range up, because it was taken by another or may have been.
+   * Relinquishes a range, because another instance has acquired it or may have done so.
    *
-   * <p>What was decided stays decided, whoever owns the range, so it is kept for the case that the
-   * range is taken here again.
+   * <p>Decisions remain valid whichever instance owns the range, so they are stored in case this
+   * instance acquires the range again.
    */
   private void relinquish(OwnedRange range) {
-    if (find.remove(range.name(), range)) {
+    if (ownedRanges.remove(range.name(), range)) {
       ownBackup.store(range.name(), range.content());
       nextAcquireMs.remove(range.name());
       lostRanges.add(range.name());
     }
   }
 
-  /** Grants the claim of an unrepeatable request, or says that its key has one. */
+  /** Grants the claim of an unrepeatable request, or returns that its key already has one. */
   CompletableFuture<Outcome> grant(OwnedRange range, SoleClaim claim) {
-    Optional<SoleClaim> known = range.claims().find(claim.key());
-    if (known.isPresent()) {
-      return CompletableFuture.completedFuture(outcomeOf(known.get(), claim));
+    Optional<SoleClaim> existing = range.claims().find(claim.key());
+    if (existing.isPresent()) {
+      return CompletableFuture.completedFuture(outcomeOf(existing.get(), claim));
     }
     Transaction insert =
         Transaction.on(
@@ -171,8 +174,8 @@
         .exceptionallyCompose(error -> grantWithBackup(range, claim));
   }
 
-  private static Outcome outcomeOf(SoleClaim held, SoleClaim claim) {
-    return held.equals(claim) ? Outcome.GRANTED : Outcome.TAKEN;
+  private static Outcome outcomeOf(SoleClaim existing, SoleClaim claim) {
+    return existing.equals(claim) ? Outcome.GRANTED : Outcome.TAKEN;
   }
 
   private static Outcome recordStored(OwnedRange range, SoleClaim claim) {
@@ -184,17 +187,20 @@
     return Outcome.UNSAFE;
   }
 
-  /** While the platform is away a claim counts when the backup has acknowledged it. */
+  /**
+   * Grants a claim while the platform is unreachable. It counts once the backup has acknowledged
+   * it.
+   */
   private CompletableFuture<Outcome> grantWithBackup(OwnedRange range, SoleClaim claim) {
-    SoleClaim held = range.claims().putIfAbsent(claim, false);
-    if (!held.equals(claim)) {
+    SoleClaim existing = range.claims().putIfAbsent(claim, false);
+    if (!existing.equals(claim)) {
       return CompletableFuture.completedFuture(Outcome.TAKEN);
     }
     return replicate(range, new RangeContent(List.of(claim), List.of()))
-        .thenApply(yes -> yes ? Outcome.GRANTED : Outcome.UNSAFE);
+        .thenApply(acknowledged -> acknowledged ? Outcome.GRANTED : Outcome.UNSAFE);
   }
 
-  /** Gives up a claim whose run surely did not send the request. */
+  /** Releases a claim whose run certainly did not send the request. */
   void release(OwnedRange range, SoleClaim claim) {
     if (range.claims().find(claim.key()).filter(claim::equals).isEmpty()) {
       return;
@@ -214,16 +220,17 @@
   }
 
   /**
-   * Writes what was granted without the platform, names new backups for those that are gone, and
-   * takes ranges ahead of need, because none can be taken while the platform is away.
+   * Writes claims that were granted while the platform was unreachable, replaces backups that have
+   * left, and acquires ranges ahead of need, because none can be acquired while the platform is
+   * unreachable.
    */
   void maintain() {
     all().forEach(this::maintain);
     Membership view = members.read();
     long nowMs = timers.nowMs();
-    Stream.concat(lostRanges.stream(), firstRanges(view).stream())
+    Stream.concat(lostRanges.stream(), preferredRanges(view).stream())
         .distinct()
-        .filter(range -> !find.containsKey(range))
+        .filter(range -> !ownedRanges.containsKey(range))
         .filter(range -> nowMs >= nextAcquireMs.getOrDefault(range, 0L))
         .limit(MAX_ACQUIRED_PER_ROUND)
         .forEach(
@@ -246,22 +253,26 @@
     replaceBackup(range);
   }
 
-  /** Lists the ranges in whose rank order this is the first reachable instance. */
-  private List<String> firstRanges(Membership view) {
+  /** Returns the ranges for which this instance is the first reachable one in rank order. */
+  private List<String> preferredRanges(Membership view) {
     RankedView known = ranked;
     if (!view.equals(known.view())) {
       known =
           new RankedView(
-              view, KeyRanges.all().stream().filter(range -> isFirst(range, view)).toList());
+              view,
+              KeyRanges.all().stream().filter(range -> isPreferredOwner(range, view)).toList());
       ranked = known;
     }
-    return known.first();
+    return known.preferredRanges();
   }
 
-  /** Ranking all ranges costs more the larger the fleet is, so it is done once a view. */
-  private record RankedView(Membership view, List<String> first) {}
+  /**
+   * Caches the ranking per membership view, because the cost of ranking all ranges grows with the
+   * fleet.
+   */
+  private record RankedView(Membership view, List<String> preferredRanges) {}
 
-  private static boolean isFirst(String range, Membership view) {
+  private static boolean isPreferredOwner(String range, Membership view) {
     return KeyRanges.rank(range, view).stream()
         .filter(view::isReachable)
         .findFirst()
@@ -270,19 +281,19 @@
   }
 
   private void flush(OwnedRange range) {
-    List<SoleClaim> open =
+    List<SoleClaim> unwritten =
         range.claims().notInTable().stream().limit(MAX_CLAIMS_PER_WRITE).toList();
-    if (open.isEmpty()) {
+    if (unwritten.isEmpty()) {
       return;
     }
     var unused =
         table
-            .read(open.stream().map(RangeRow::claim).toList())
-            .thenCompose(rows -> insertMissing(range, open, rows))
+            .read(unwritten.stream().map(RangeRow::claim).toList())
+            .thenCompose(rows -> insertMissing(range, unwritten, rows))
             .thenAccept(
                 written -> {
                   if (written) {
-                    open.forEach(claim -> range.claims().putIfAbsent(claim, true));
+                    unwritten.forEach(claim -> range.claims().putIfAbsent(claim, true));
                   } else {
                     relinquish(range);
                   }
@@ -303,7 +314,7 @@
     return table.write(transaction);
   }
 
-  /** A range whose backup has left the fleet gets another one, or none when there is no other. */
+  /** Replaces a backup that has left the fleet, with no backup when there is no other instance. */
   private void replaceBackup(OwnedRange range) {
     Membership view = members.read();
     RangeRow state = range.state();
@@ -314,8 +325,8 @@
             .map(InstanceRecord::incarnation)
             .orElse("");
     boolean present = backup.filter(view::isReachable).isPresent();
-    boolean stays = present || (next.isEmpty() && backup.isPresent());
-    if (stays || next.equals(state.backup()) || !range.pause()) {
+    boolean keepsBackup = present || (next.isEmpty() && backup.isPresent());
+    if (keepsBackup || next.equals(state.backup()) || !range.pause()) {
       return;
     }
     replaceBackup(range, state.next(state.owner(), next));
@@ -326,8 +337,8 @@
         acquirer
             .seedBackup(range.name(), next, range.content())
             .thenAccept(
-                primed -> {
-                  if (primed) {
+                seeded -> {
+                  if (seeded) {
                     changeRow(range, next);
                   } else {
                     range.resume();
@@ -338,8 +349,8 @@
   /**
    * Changes the row of an owned range.
    *
-   * <p>Decisions go to the backup that the row names. While the change is under way there must be
-   * none, because the old backup would take them and the new one would not know.
+   * <p>Decisions are sent to the backup that the row names. None may be made while the change is in
+   * flight, because the old backup would acknowledge them and the new one would not know them.
    */
   private void changeRow(OwnedRange range, RangeRow next) {
     relinquish(range);
@@ -349,17 +360,17 @@
             .thenAccept(
                 written -> {
                   if (written) {
-                    Row before = range.row();
-                    range.row(new Row(before.key(), before.version() + 1, next.toCells()));
+                    Row previous = range.row();
+                    range.row(new Row(previous.key(), previous.version() + 1, next.toCells()));
                     range.resume();
-                    find.putIfAbsent(range.name(), range);
+                    ownedRanges.putIfAbsent(range.name(), range);
                   }
                 })
             .exceptionally(
                 error -> {
                   if (isKnownUnchanged(error)) {
                     range.resume();
-                    find.putIfAbsent(range.name(), range);
+                    ownedRanges.putIfAbsent(range.name(), range);
                   }
                   return null;
                 });
@@ -370,7 +381,10 @@
         && known.outcome() == PlatformException.Outcome.NOT_APPLIED;
   }
 
-  /** Leaves all ranges to whoever needs them next; the backup keeps what was decided. */
+  /**
+   * Releases all ranges, so that other instances can acquire them. The backups retain the
+   * decisions.
+   */
   void releaseAll() {
     all().forEach(this::releaseAll);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RunRegistry.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * What the owner of a range knows of the runs of its keys.
+ * The runs of the keys of a range, as known to its owner.
  *
- * <p>A run that another one has replaced is told so when it ends, and its bill is dropped, so that
- * one key is billed once however many runs it took.
+ * <p>A run that was superseded by another one learns this when it ends, and its bill is dropped. A
+ * key is therefore billed once, regardless of the number of its runs.
  */
 final class RunRegistry {
 
@@ -32,13 +32,13 @@
     this.timers = timers;
   }
 
-  /** How far the decision about a key has come. */
+  /** The state of the decision about a key. */
   private enum Phase {
-    /** A run goes on. */
+    /** A run is in flight. */
     RUNNING,
-    /** A run has ended, and the backup has not acknowledged yet that it counts. */
+    /** A run has ended and the backup has not yet acknowledged that it counts. */
     DECIDING,
-    /** It is decided that the run counts. */
+    /** The decision that the run counts has been made. */
     DECIDED
   }
 
@@ -50,35 +50,39 @@
     }
   }
 
-  /** Says what the runner of a claim has to do, and notes its run when it is to run. */
+  /** Returns the verdict on a claim, and records the run when it may run. */
   ClaimReply claim(ClaimRequest claim) {
     ClaimReply[] reply = new ClaimReply[1];
     entries.compute(
         claim.key(),
-        (key, held) -> {
-          reply[0] = held == null ? reply(ClaimReply.Verdict.RUN, "") : verdictOn(held, claim);
+        (key, existing) -> {
+          reply[0] =
+              existing == null ? reply(ClaimReply.Verdict.RUN, "") : verdictOn(existing, claim);
           boolean granted = reply[0].verdict() == ClaimReply.Verdict.RUN;
-          return granted ? running(claim) : held;
+          return granted ? runningEntry(claim) : existing;
         });
     return reply[0];
   }
 
-  /** Answers a retry under a key whose first run was noted here; what is not known never runs. */
+  /**
+   * Answers a retry under a generated key whose first run was recorded here. An unknown key is
+   * never run.
+   */
   ClaimReply claimGenerated(ClaimRequest claim) {
-    Entry held = entries.get(claim.key());
-    return held == null
+    Entry existing = entries.get(claim.key());
+    return existing == null
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
-        : verdictOnGenerated(held, claim);
+        : verdictOnGenerated(existing, claim);
   }
 
-  private ClaimReply verdictOnGenerated(Entry held, ClaimRequest claim) {
-    ClaimReply verdict = verdictOn(held, claim);
+  private ClaimReply verdictOnGenerated(Entry existing, ClaimRequest claim) {
+    ClaimReply verdict = verdictOn(existing, claim);
     return verdict.verdict() == ClaimReply.Verdict.RUN
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
         : verdict;
   }
 
-  private Entry running(ClaimRequest claim) {
+  private Entry runningEntry(ClaimRequest claim) {
     return new Entry(claim, Optional.empty(), Phase.RUNNING, false, timers.nowMs());
   }
 
@@ -86,132 +90,154 @@
     return new ClaimReply(verdict, runner, Optional.empty());
   }
 
-  private ClaimReply verdictOn(Entry held, ClaimRequest claim) {
-    if (!held.claim().fingerprint().equals(claim.fingerprint())) {
+  private ClaimReply verdictOn(Entry existing, ClaimRequest claim) {
+    if (!existing.claim().fingerprint().equals(claim.fingerprint())) {
       return reply(ClaimReply.Verdict.MISMATCH, "");
     }
-    if (held.phase() == Phase.RUNNING) {
-      return verdictOnRunning(held, claim);
+    if (existing.phase() == Phase.RUNNING) {
+      return verdictOnRunning(existing, claim);
     }
-    FinishRequest finish = held.finish().orElseThrow();
+    FinishRequest finish = existing.finish().orElseThrow();
     return finish.bill().isEmpty()
         ? reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "")
         : new ClaimReply(ClaimReply.Verdict.REPLAY, "", finish.answer());
   }
 
-  private ClaimReply verdictOnRunning(Entry held, ClaimRequest claim) {
-    if (held.isRunBy(claim.requestId())) {
+  private ClaimReply verdictOnRunning(Entry existing, ClaimRequest claim) {
+    if (existing.isRunBy(claim.requestId())) {
       return reply(ClaimReply.Verdict.RUN, "");
     }
-    if (!isRunnerUnreachable(held.claim().runner())) {
-      return reply(ClaimReply.Verdict.JOIN, held.claim().runner());
+    if (!isRunnerUnreachable(existing.claim().runner())) {
+      return reply(ClaimReply.Verdict.JOIN, existing.claim().runner());
     }
-    return held.claim().repeatable()
+    return existing.claim().repeatable()
         ? reply(ClaimReply.Verdict.RUN, "")
         : reply(ClaimReply.Verdict.OUTCOME_UNKNOWN, "");
   }
 
-  /** A runner that does not answer may still run; its result will not count. */
+  /**
+   * Checks whether a runner is unreachable. It may still be running, but its result will not count.
+   */
   private boolean isRunnerUnreachable(String runner) {
     Membership view = members.read();
     return view.find(runner).map(found -> !view.isReachable(found)).orElse(true);
   }
 
   /**
-   * Takes the end of a run.
+   * Records the end of a run.
    *
-   * @return confirmed when it was decided before that this run counts, superseded when another one
-   *     counts, held when the backup has to be asked first
+   * @return confirmed when it was already decided that this run counts, superseded when another run
+   *     counts, held when the backup has to acknowledge it first
    */
   FinishReply.Verdict finish(FinishRequest finish) {
     FinishReply.Verdict[] verdict = new FinishReply.Verdict[1];
     entries.compute(
         finish.key(),
-        (key, held) -> {
-          verdict[0] = verdictOnEnd(held, finish);
-          boolean deciding = verdict[0] == FinishReply.Verdict.HELD && canDecide(held, finish);
-          return deciding ? ended(held, finish) : held;
+        (key, existing) -> {
+          verdict[0] = verdictOnEnd(existing, finish);
+          boolean deciding = verdict[0] == FinishReply.Verdict.HELD && canDecide(existing, finish);
+          return deciding ? decidingEntry(existing, finish) : existing;
         });
     return verdict[0];
   }
 
-  /** The run that ends first counts: its caller has an answer, the other one may still fail. */
-  private static FinishReply.Verdict verdictOnEnd(Entry held, FinishRequest finish) {
-    if (canDecide(held, finish)) {
-      boolean decided = held != null && held.phase() == Phase.DECIDED;
+  /**
+   * The run that ends first counts, because its caller has an answer while the other run may still
+   * fail.
+   */
+  private static FinishReply.Verdict verdictOnEnd(Entry existing, FinishRequest finish) {
+    if (canDecide(existing, finish)) {
+      boolean decided = existing != null && existing.phase() == Phase.DECIDED;
       return decided ? FinishReply.Verdict.CONFIRMED : FinishReply.Verdict.HELD;
     }
-    return held.phase() == Phase.DECIDING
+    return existing.phase() == Phase.DECIDING
         ? FinishReply.Verdict.HELD
         : FinishReply.Verdict.SUPERSEDED;
   }
 
-  private static boolean canDecide(Entry held, FinishRequest finish) {
-    return held == null
-        || held.isRunBy(finish.requestId())
-        || held.phase() == Phase.RUNNING
-        || isUnknownOutcome(held);
+  private static boolean canDecide(Entry existing, FinishRequest finish) {
+    return existing == null
+        || existing.isRunBy(finish.requestId())
+        || existing.phase() == Phase.RUNNING
+        || isUnknownOutcome(existing);
   }
 
-  /** A run that may have failed is not billed, so it cannot stand in the way of one that is. */
-  private static boolean isUnknownOutcome(Entry held) {
-    return held.finish().filter(finish -> finish.bill().isEmpty()).isPresent();
+  /**
+   * Checks whether the recorded run has an unknown outcome. Such a run is not billed, so it does
+   * not prevent another run from counting.
+   */
+  private static boolean isUnknownOutcome(Entry existing) {
+    return existing.finish().filter(finish -> finish.bill().isEmpty()).isPresent();
   }
 
-  /** Says whether a run is the one that is being decided about. */
+  /** Checks whether the decision about this run is pending. */
   boolean isPending(FinishRequest finish) {
-    Entry held = entries.get(finish.key());
-    return held != null && held.isRunBy(finish.requestId()) && held.phase() == Phase.DECIDING;
+    Entry existing = entries.get(finish.key());
+    return existing != null
+        && existing.isRunBy(finish.requestId())
+        && existing.phase() == Phase.DECIDING;
   }
 
-  private Entry ended(Entry held, FinishRequest finish) {
-    boolean same = held != null && held.isRunBy(finish.requestId());
-    ClaimRequest claim = same ? held.claim() : claimOf(finish);
+  private Entry decidingEntry(Entry existing, FinishRequest finish) {
+    boolean same = existing != null && existing.isRunBy(finish.requestId());
+    ClaimRequest claim = same ? existing.claim() : claimFrom(finish);
     return new Entry(claim, Optional.of(finish), Phase.DECIDING, false, timers.nowMs());
   }
 
-  /** A minted key is not claimed before it runs; its record begins at its end. */
-  private static ClaimRequest claimOf(FinishRequest finish) {
+  /**
+   * Creates a claim from the end of a run, because a generated key is not claimed before it runs
+   * and its record starts with the end of the run.
+   */
+  private static ClaimRequest claimFrom(FinishRequest finish) {
     return new ClaimRequest(
         finish.key(), finish.runner(), finish.requestId(), finish.fingerprint(), true);
   }
 
-  /** Takes up what was decided, here or under an earlier owner. */
+  /** Records a decision made here or under an earlier owner. */
   void recordDecision(FinishRequest finish) {
     entries.compute(
         finish.key(),
-        (key, held) -> {
-          boolean same = held != null && held.isRunBy(finish.requestId());
-          boolean posted = finish.bill().isEmpty() || (same && held.posted());
-          ClaimRequest claim = same ? held.claim() : claimOf(finish);
+        (key, existing) -> {
+          boolean sameRun = existing != null && existing.isRunBy(finish.requestId());
+          boolean posted = finish.bill().isEmpty() || (sameRun && existing.posted());
+          ClaimRequest claim = sameRun ? existing.claim() : claimFrom(finish);
           return new Entry(claim, Optional.of(finish), Phase.DECIDED, posted, timers.nowMs());
         });
   }
 
-  /** Ends a run that failed: unless its outcome must be kept, the next try may run. */
+  /**
+   * Records the failure of a run. The next attempt may run unless the outcome has to be retained.
+   */
   void recordFailure(FinishRequest finish) {
     entries.computeIfPresent(
         finish.key(),
-        (key, held) -> {
-          boolean other = !held.isRunBy(finish.requestId()) || held.phase() != Phase.RUNNING;
-          if (other) {
-            return held;
+        (key, existing) -> {
+          boolean superseded =
+              !existing.isRunBy(finish.requestId()) || existing.phase() != Phase.RUNNING;
+          if (superseded) {
+            return existing;
           }
-          boolean mayRunAgain = finish.notRun() || held.claim().repeatable();
+          boolean mayRunAgain = finish.notRun() || existing.claim().repeatable();
           return mayRunAgain
               ? null
-              : new Entry(held.claim(), Optional.of(finish), Phase.DECIDED, true, timers.nowMs());
+              : new Entry(
+                  existing.claim(), Optional.of(finish), Phase.DECIDED, true, timers.nowMs());
         });
   }
 
-  /** Notes that a run's bill is in the ledger. */
+  /** Records that the bill of a run has been written to the ledger. */
   void markPosted(RequestKey key) {
     entries.computeIfPresent(
         key,
-        (same, held) -> new Entry(held.claim(), held.finish(), held.phase(), true, held.atMs()));
+        (ignoredKey, existing) ->
+            new Entry(
+                existing.claim(), existing.finish(), existing.phase(), true, existing.atMs()));
   }
 
-  /** Lists decided runs whose runner is gone and whose bill is not known to be in the ledger. */
+  /**
+   * Returns decided runs whose runner has left the fleet and whose bill is not known to be in the
+   * ledger.
+   */
   List<FinishRequest> orphanedRuns() {
     Membership view = members.read();
     return entries.values().stream()
@@ -221,7 +247,7 @@
         .toList();
   }
 
-  /** Lists the ends of runs about which the backup has to be asked again. */
+  /** Returns the ends of runs for which the backup has to be asked again. */
   List<FinishRequest> pendingDecisions() {
     return entries.values().stream()
         .filter(entry -> entry.phase() == Phase.DECIDING)
@@ -229,7 +255,7 @@
         .toList();
   }
 
-  /** Lists what is decided, newest first. */
+  /** Returns the decided runs, newest first. */
   List<FinishRequest> decidedRuns() {
     return entries.values().stream()
         .filter(entry -> entry.phase() == Phase.DECIDED)
@@ -238,33 +264,35 @@
         .toList();
   }
 
-  /** Drops old answers first, and in the end the decisions. */
+  /** Evicts answers after their retention, and decisions after a longer one. */
   void evictExpired(long answerMs, long decisionMs) {
     long nowMs = timers.nowMs();
-    entries.replaceAll((key, held) -> nowMs - held.atMs() > answerMs ? withoutAnswer(held) : held);
+    entries.replaceAll(
+        (key, existing) -> nowMs - existing.atMs() > answerMs ? withoutAnswer(existing) : existing);
     entries
         .values()
         .removeIf(
-            held -> {
-              long keptMs = held.phase() == Phase.RUNNING ? MAX_RUNNING_MS : decisionMs;
-              boolean open = held.phase() == Phase.DECIDING || !held.posted();
-              return nowMs - held.atMs() > keptMs && (held.phase() == Phase.RUNNING || !open);
+            existing -> {
+              long retentionMs = existing.phase() == Phase.RUNNING ? MAX_RUNNING_MS : decisionMs;
+              boolean unresolved = existing.phase() == Phase.DECIDING || !existing.posted();
+              return nowMs - existing.atMs() > retentionMs
+                  && (existing.phase() == Phase.RUNNING || !unresolved);
             });
   }
 
-  private static Entry withoutAnswer(Entry held) {
+  private static Entry withoutAnswer(Entry existing) {
     return new Entry(
-        held.claim(),
-        held.finish().map(FinishRequest::withoutAnswer),
-        held.phase(),
-        held.posted(),
-        held.atMs());
+        existing.claim(),
+        existing.finish().map(FinishRequest::withoutAnswer),
+        existing.phase(),
+        existing.posted(),
+        existing.atMs());
   }
 
-  /** Adds up the answers that are kept. */
+  /** Returns the total size of the stored answers in bytes. */
   long answerBytes() {
     return entries.values().stream()
-        .flatMap(held -> held.finish().stream())
+        .flatMap(existing -> existing.finish().stream())
         .flatMap(finish -> finish.answer().stream())
         .mapToLong(answer -> answer.body().length)
         .sum();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/AllotmentManagerTest.java
@@ -9,12 +9,12 @@
 
   private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
-  // The platform grants tokens, but its answer is lost. The instance must find them when it asks
-  // again, and must not count them twice.
+  // Guards against counting a grant twice, or losing it, when the response of the platform was
+  // lost: the next request must find the granted tokens.
   @Test
-  void countsGrantOnceWhenItsAnswerWasLost() {
+  void countsGrantOnceWhenItsResponseWasLost() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     var lost = fixture.account().reserve(100);
     assertThat(lost.isCompletedExceptionally()).isTrue();
@@ -27,12 +27,13 @@
     assertThat(fixture.budgetRow().allottedTokens()).isEqualTo(inHandTokens);
   }
 
-  // Tokens are given back, but the answer is lost. Put back into the pool at once, they could be
-  // held here and granted to another instance. They stay out until the row has told.
+  // Guards against holding tokens twice when the response to a return was lost: if they were added
+  // back to the pool at once, they could be held here and granted to another instance. They stay
+  // out of the pool until the row shows the outcome.
   @Test
-  void holdsNoTokenTwiceWhenTheAnswerToReturnWasLost() {
+  void holdsNoTokenTwiceWhenTheResponseToReturnWasLost() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
     fixture.platformCalls.setFault(Fault.ANSWER_LOST);
     // WHEN
@@ -47,9 +48,9 @@
   }
 
   @Test
-  void returnsWhatAnIdleAccountDoesNotNeed() {
+  void returnsSurplusOfIdleAccount() {
     // GIVEN
-    fixture.pay(100_000);
+    fixture.topUp(100_000);
     fixture.account().reserve(100).join().release();
     // WHEN
     fixture.timers.advanceMs(600_000);
@@ -59,9 +60,9 @@
   }
 
   @Test
-  void holdsAtMostShareOfWhatIsLeftHoweverOftenItIsRefilled() {
+  void holdsAtMostShareOfRemainingTokensAfterManyRefills() {
     // GIVEN
-    fixture.pay(20_000);
+    fixture.topUp(20_000);
     // WHEN
     for (int call = 0; call < 100; call++) {
       fixture.account().reserve(10).join().release();
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetAccountReserveTest.java
@@ -18,9 +18,9 @@
   private final BudgetFixture fixture = new BudgetFixture("konya-1");
 
   @Test
-  void takesTokensFromThePlatformAndGivesBackWhatWasNotUsed() {
+  void requestsTokensFromThePlatformAndReturnsUnusedOnes() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     // WHEN
     Reservation reservation = fixture.account().reserve(100).join();
     long heldTokens = fixture.account().availableTokens();
@@ -32,9 +32,9 @@
   }
 
   @Test
-  void isRefusedAsExhaustedWhenTheBudgetHasNoRoom() {
+  void isRefusedAsExhaustedWhenTheBudgetHasTooFewTokens() {
     // GIVEN
-    fixture.pay(99);
+    fixture.topUp(99);
     // WHEN
     CompletableFuture<Reservation> refused = fixture.account().reserve(100);
     // THEN
@@ -45,7 +45,7 @@
   @Test
   void isRefusedAsOutOfReachWhenThePlatformIsUnreachable() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
     CompletableFuture<Reservation> refused = fixture.account().reserve(100);
@@ -53,13 +53,13 @@
     assertThat(errorOf(refused).isExhausted()).isFalse();
   }
 
-  // The caller's request joins while the platform is being asked for less than it needs. Were it
-  // refused with that round, it would be a false refusal: the budget has room. It gets a round of
-  // its own.
+  // Guards against a wrong refusal of a request that joins while the platform is being asked for
+  // fewer tokens than it needs. The budget has enough tokens, so the request gets a round of its
+  // own.
   @Test
   void isNotRefusedByRoundThatStartedBeforeIt() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.platformCalls.setDelayMs(10);
     CompletableFuture<Reservation> first = fixture.account().reserve(100);
     fixture.timers.advanceMs(5);
@@ -71,19 +71,19 @@
     assertThat(late.join().tokens()).isEqualTo(5_000);
   }
 
-  // The caller's request waits for the platform. What the platform grants for it lies in the pool
-  // for a moment, and a request that comes just then takes it. Were the first refused with that
-  // round, it would hear that the budget is spent although nearly all of it is left.
+  // Guards against a wrong refusal when another request takes the tokens that were granted for a
+  // waiting one: granted tokens are in the pool for a moment, where any request can take them. The
+  // waiting request would be told that the budget is exhausted although nearly all of it is left.
   @Test
-  void isNotRefusedWhenAnotherRequestTookWhatWasGrantedForIt() {
+  void isNotRefusedWhenAnotherRequestTookTheTokensGrantedForIt() {
     // GIVEN
     TokenPool pool = new TokenPool(new AllotmentId("konya-1.1", "branch"), () -> Long.MAX_VALUE);
     List<Optional<Reservation>> taken = new ArrayList<>();
     TokenSource platform =
-        (account, need) -> {
-          pool.put(need.needTokens());
+        (account, demand) -> {
+          pool.put(demand.needTokens());
           if (taken.isEmpty()) {
-            taken.add(account.tryReserve(need.needTokens()));
+            taken.add(account.tryReserve(demand.needTokens()));
           }
           return CompletableFuture.completedFuture(TokenSource.Result.ADDED);
         };
@@ -97,13 +97,13 @@
     assertThat(served.tokens()).isEqualTo(600);
   }
 
-  // Of a nearly spent budget, what a request did not use is returned at once, and loans are handed
-  // back. While another request gathers tokens here, that would take away what it has found: it is
-  // refused although the budget has room.
+  // Guards against returning tokens that were collected for a waiting request: when another request
+  // of a scarce budget is settled, unused tokens and loans are returned at once. The waiting
+  // request would then be refused although the budget has enough tokens.
   @Test
   void keepsTokensCollectedForOneRequestWhenAnotherIsSettled() {
     // GIVEN
-    fixture.pay(1_000);
+    fixture.topUp(1_000);
     final Reservation running = fixture.account().reserve(100).join();
     fixture.platformCalls.setDelayMs(10);
     TokenPool loan = new TokenPool(new AllotmentId("konya-2.1", "branch"), () -> Long.MAX_VALUE);
@@ -121,7 +121,7 @@
   @Test
   void stopsBeforeTheLeaseEndsWhileThePlatformIsUnreachable() {
     // GIVEN
-    fixture.pay(10_000);
+    fixture.topUp(10_000);
     fixture.account().reserve(100).join().release();
     fixture.platformCalls.setFault(Fault.DOWN);
     // WHEN
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/BudgetFixture.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
-/** One instance's budgets before a table in memory, without peers. */
+/** The budgets of one instance without peers, with an in-memory table. */
 final class BudgetFixture {
 
   static final String BUDGET = "branch";
@@ -48,7 +48,7 @@
     timers.advanceMs(1);
   }
 
-  void pay(long tokens) {
+  void topUp(long tokens) {
     Row row = table.read(List.of(BudgetTables.budget(BUDGET))).join().get(0);
     Row topUp = Row.absent(BudgetTables.topUp(BUDGET, "topup-" + topUpCount++));
     var unused =
--- a/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/budget/ReservationSettleTest.java
@@ -27,10 +27,10 @@
     assertThat(owed).containsExactly(new BillPart(OWN, 100));
   }
 
-  // Two slices of one allotment came to this instance. The ledger takes one bill per run and
-  // allotment, so two parts would lose one of them.
+  // Guards against losing a part of a bill when an instance holds two slices of one allotment: the
+  // ledger accepts one bill per run and allotment, so the parts must be combined.
   @Test
-  void addsUpPartsOfTheSameAllotment() {
+  void combinesPartsOfTheSameAllotment() {
     // GIVEN
     Reservation reservation =
         new Reservation(
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void putsEverythingBackWhenTheRunDoesNotCount() {
+  void returnsAllTokensWhenTheRunDoesNotCount() {
     // GIVEN
     TokenPool pool = pool(OWN);
     Reservation reservation = new Reservation(List.of(new Reservation.Part(pool, 100)), () -> {});
--- a/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/drain/DrainControllerTest.java
@@ -31,7 +31,7 @@
 
     @Override
     public void handOver() {
-      // What is handed over is tested with the parts that do it.
+      // The hand-over itself is tested with the components that do it.
     }
 
     @Override
@@ -40,9 +40,10 @@
     }
   }
 
-  // The balancer still sends for a while after readiness fails. Those calls must be served.
+  // Guards against refusing requests too early: the load balancer still sends requests for a while
+  // after readiness fails.
   @Test
-  void stillTakesRequestsUntilTheBalancerHadTimeToNotice() {
+  void acceptsRequestsUntilTheLoadBalancerHasHadTimeToNotice() {
     // WHEN
     final var done = drain.drain();
     timers.advanceMs(2_999);
@@ -55,7 +56,7 @@
   }
 
   @Test
-  void waitsForTheLastRequestBeforeItHandsOver() {
+  void waitsForTheLastRequestBeforeHandOver() {
     // GIVEN
     final var done = drain.drain();
     timers.advanceMs(30_000);
@@ -69,10 +70,10 @@
     assertThat(done.isDone()).isTrue();
   }
 
-  // The platform is down, so nothing can be handed over. The process exits all the same in bounded
-  // time; its bills are with other instances.
+  // Guards against a process that never exits because the platform is unreachable and nothing can
+  // be handed over. Its bills are stored at other instances.
   @Test
-  void endsInBoundedTimeWhenTheHandOverDoesNotSucceed() {
+  void endsInBoundedTimeWhenHandOverFails() {
     // GIVEN
     work.idle = true;
     final var done = drain.drain();
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void changesNothingWhenItIsAskedTwice() {
+  void secondDrainCallHasNoEffect() {
     // WHEN
     var first = drain.drain();
     timers.advanceMs(1_000);
--- a/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/routing/ServiceQueueTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void servesUrgentCallsBeforeBatchCallsThatCameFirst() {
+  void servesUrgentCallsBeforeBatchCallsQueuedEarlier() {
     // GIVEN
     declare(false);
     Assignment running = route("first", "a", Priority.BATCH).join();
@@ -61,9 +61,10 @@
     assertThat(batch.isDone()).isFalse();
   }
 
-  // One large team queues many calls; a small team's only call must not wait for all of them.
+  // Guards against starving a small team: its only call must not wait for all queued calls of a
+  // large team.
   @Test
-  void letsTeamsTakeTurns() {
+  void servesTeamsRoundRobin() {
     // GIVEN
     declare(false);
     Assignment slot = route("first", "large", Priority.URGENT).join();
@@ -116,7 +117,8 @@
     assertThat(waiting.isCompletedExceptionally()).isTrue();
   }
 
-  // An upstream turns a call away and asks for rest; the next call finds no other one.
+  // Guards against sending calls to an upstream during the backoff that it announced with a
+  // refusal, also when there is no other upstream.
   @Test
   void sendsNothingToUpstreamThatBacksOff() {
     // GIVEN
