--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/AttemptRecorder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/AttemptRecorder.java
@@ -10,20 +10,20 @@
 final class AttemptRecorder {
 
   private final RegisteredUpstream upstream;
-  private final long chosenMs;
+  private final long selectedAtMs;
   private final int inFlightCount;
   private final long pendingPrefillTokens;
   private final long estimatedCount;
   private boolean recorded;
 
-  AttemptRecorder(AdmittedRequest work, RegisteredUpstream upstream, UpstreamLoad load) {
-    ForwardDependencies parts = work.received().dependencies();
-    long nowMs = parts.timers().nowMs();
+  AttemptRecorder(AdmittedRequest admitted, RegisteredUpstream upstream, UpstreamLoad load) {
+    ForwardDependencies dependencies = admitted.received().dependencies();
+    long nowMs = dependencies.timers().nowMs();
     this.upstream = upstream;
-    this.chosenMs = nowMs - work.received().startMs();
+    this.selectedAtMs = nowMs - admitted.received().startMs();
     this.inFlightCount = load.inFlightCount();
     this.pendingPrefillTokens =
-        Math.round(load.pendingPrefillTokens(parts.prefillSpeed().tokensPerMs(), nowMs));
+        Math.round(load.pendingPrefillTokens(dependencies.prefillSpeed().tokensPerMs(), nowMs));
     this.estimatedCount = Math.round(load.estimatedCount(nowMs));
   }
 
@@ -34,7 +34,7 @@
       progress.attempts.add(
           new ForwardedRequestLog.Attempt(
               upstream.id(),
-              chosenMs,
+              selectedAtMs,
               inFlightCount,
               pendingPrefillTokens,
               estimatedCount,
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/CallerConnection.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/CallerConnection.java
@@ -49,15 +49,16 @@
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private ForwardExchange exchange;
   private boolean keepAlive = true;
-  private boolean refused;
+  private boolean closing;
   private long headMs;
   private long idleSinceMs;
   private boolean headStarted;
 
-  CallerConnection(ForwardDependencies parts, UpstreamPool pool, ForwardServerState edge) {
-    this.dependencies = parts;
+  CallerConnection(
+      ForwardDependencies dependencies, UpstreamPool pool, ForwardServerState serverState) {
+    this.dependencies = dependencies;
     this.pool = pool;
-    this.serverState = edge;
+    this.serverState = serverState;
   }
 
   @Override
@@ -78,7 +79,7 @@
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     HttpObject object = (HttpObject) message;
-    if (refused) {
+    if (closing) {
       ReferenceCountUtil.release(object);
       return;
     }
@@ -101,7 +102,7 @@
       if (object instanceof HttpRequest request) {
         processHead(request);
       }
-      if (!refused && object instanceof HttpContent content) {
+      if (!closing && object instanceof HttpContent content) {
         processContent(content);
       }
     } finally {
@@ -181,7 +182,7 @@
    * then, so the connection is closed.
    */
   private void refuse(ForwardRefusal refusal) {
-    refused = true;
+    closing = true;
     releaseBody();
     keepAlive = false;
     write(
@@ -198,9 +199,9 @@
 
   @Override
   public void sendFull(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
-    boolean open = staysOpen();
+    boolean keepOpen = staysOpen();
     write(status, headers, content);
-    onAnswered(open);
+    onResponseEnd(keepOpen);
   }
 
   private void write(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
@@ -246,18 +247,18 @@
 
   @Override
   public void endStream() {
-    boolean open = staysOpen();
+    boolean keepOpen = staysOpen();
     var written = context.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-    if (!open) {
+    if (!keepOpen) {
       written.addListener(ChannelFutureListener.CLOSE);
     }
-    onAnswered(open);
+    onResponseEnd(keepOpen);
   }
 
   @Override
   public void abort() {
     context.close();
-    onAnswered(false);
+    onResponseEnd(false);
   }
 
   @Override
@@ -265,22 +266,22 @@
     return context.channel().isWritable();
   }
 
-  private void onAnswered(boolean open) {
+  private void onResponseEnd(boolean keepOpen) {
     serverState.releaseBytes(body.readableBytes());
     serverState.onRequestEnded();
     body = Unpooled.EMPTY_BUFFER;
     exchange = null;
     head = null;
     idleSinceMs = dependencies.timers().nowMs();
-    if (open) {
+    if (keepOpen) {
       context.channel().eventLoop().execute(this::processPipelined);
     } else {
-      refused = true;
+      closing = true;
     }
   }
 
   private void processPipelined() {
-    while (exchange == null && !refused && !pipelined.isEmpty()) {
+    while (exchange == null && !closing && !pipelined.isEmpty()) {
       process(pipelined.poll());
     }
     if (exchange == null) {
@@ -304,10 +305,10 @@
       serverState.releaseBytes(body.readableBytes());
       serverState.onRequestEnded();
       exchange = null;
-    } else if (!refused) {
+    } else if (!closing) {
       releaseBody();
     }
-    refused = true;
+    closing = true;
     pipelined.forEach(ReferenceCountUtil::release);
     pipelined.clear();
   }
@@ -324,15 +325,15 @@
         .eventLoop()
         .execute(
             () -> {
-              if (exchange != null || refused) {
+              if (exchange != null || closing) {
                 return;
               }
-              long quietMs = nowMs - idleSinceMs;
+              long idleMs = nowMs - idleSinceMs;
               if (head != null) {
-                refuseIfSlow(nowMs - headMs);
+                refuseIfBodyIsSlow(nowMs - headMs);
               } else if (headStarted) {
-                refuseIfHeadIsSlow(quietMs);
-              } else if (quietMs > idleLimitMs()) {
+                refuseIfHeadIsSlow(idleMs);
+              } else if (idleMs > idleTimeoutMs()) {
                 context.close();
               }
             });
@@ -344,7 +345,7 @@
     }
   }
 
-  private void refuseIfSlow(long sinceHeadMs) {
+  private void refuseIfBodyIsSlow(long sinceHeadMs) {
     long allowedMs = call == null ? 0 : call.deadlineMs().orElse(bounds().idleTimeoutMs());
     if (sinceHeadMs > Math.min(allowedMs, bounds().idleTimeoutMs())) {
       refuse(ForwardRefusal.of(Cause.SENT_TOO_SLOWLY));
@@ -355,7 +356,7 @@
     context.close();
   }
 
-  private long idleLimitMs() {
+  private long idleTimeoutMs() {
     return serverState.isDraining()
         ? ForwardServerState.DRAINING_IDLE_TIMEOUT_MS
         : bounds().idleTimeoutMs();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/Dialect.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/Dialect.java
@@ -25,10 +25,10 @@
    * Returns the headers of a request to an upstream.
    *
    * @param fromCaller the caller's headers
-   * @param send what mothrill adds to the request
+   * @param context what mothrill adds to the request
    * @return the headers, without those that concern only one connection
    */
-  HttpHeaders upstreamRequestHeaders(HttpHeaders fromCaller, UpstreamRequestContext send);
+  HttpHeaders upstreamRequestHeaders(HttpHeaders fromCaller, UpstreamRequestContext context);
 
   /**
    * Reads the metadata of an upstream's response.
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/EventRelay.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/EventRelay.java
@@ -10,8 +10,8 @@
   private final ForwardProgress progress;
   private final HttpResponse head;
 
-  EventRelay(AdmittedRequest work, ForwardProgress progress, HttpResponse head) {
-    this.admitted = work;
+  EventRelay(AdmittedRequest admitted, ForwardProgress progress, HttpResponse head) {
+    this.admitted = admitted;
     this.progress = progress;
     this.head = head;
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardAttempt.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardAttempt.java
@@ -63,13 +63,13 @@
     void end(String outcome, int status);
 
     /** Checks whether the request may be sent to an upstream now. */
-    boolean admits(RegisteredUpstream upstream);
+    boolean mayBeSentTo(RegisteredUpstream upstream);
 
     /**
      * Returns the crash guard of the request, which tracks upstreams that terminated while running
      * it.
      */
-    RequestCrashGuard suspicion();
+    RequestCrashGuard requestCrashGuard();
   }
 
   private final AdmittedRequest admitted;
@@ -93,20 +93,27 @@
   private EventRelay relay;
 
   ForwardAttempt(
-      AdmittedRequest work, ForwardProgress progress, Owner owner, RegisteredUpstream upstream) {
-    this.admitted = work;
-    this.dependencies = work.received().dependencies();
+      AdmittedRequest admitted,
+      ForwardProgress progress,
+      Owner owner,
+      RegisteredUpstream upstream) {
+    this.admitted = admitted;
+    this.dependencies = admitted.received().dependencies();
     this.progress = progress;
     this.owner = owner;
     this.upstream = upstream;
     this.load = dependencies.loads().of(upstream.incarnation());
-    this.recorder = new AttemptRecorder(work, upstream, load);
+    this.recorder = new AttemptRecorder(admitted, upstream, load);
     this.idleTimer =
         new IdleTimer(
-            dependencies.timers(), work.received().loop(), idleTimeoutMs(work), this::onIdle);
+            dependencies.timers(),
+            admitted.received().loop(),
+            idleTimeoutMs(admitted),
+            this::onIdle);
     long nowMs = dependencies.timers().nowMs();
     this.promptTokens =
-        work.call()
+        admitted
+            .call()
             .prompt()
             .map(
                 prompt ->
@@ -165,7 +172,7 @@
       connected.close();
       return;
     }
-    if (!owner.admits(upstream)) {
+    if (!owner.mayBeSentTo(upstream)) {
       finished = true;
       connected.close();
       owner.tryNextUpstream();
@@ -194,13 +201,12 @@
                 admitted
                     .received()
                     .loop()
-                    .execute(
-                        () -> onFailure(ResponseFailure.REPLACED, "upstream was restarted")));
+                    .execute(() -> onFailure(ResponseFailure.REPLACED, "upstream was restarted")));
     idleTimer.start();
   }
 
-  private static long idleTimeoutMs(AdmittedRequest work) {
-    return Math.max(MIN_IDLE_TIMEOUT_MS, IDLE_TIMEOUT_TARGETS * work.route().targetLatencyMs());
+  private static long idleTimeoutMs(AdmittedRequest admitted) {
+    return Math.max(MIN_IDLE_TIMEOUT_MS, IDLE_TIMEOUT_TARGETS * admitted.route().targetLatencyMs());
   }
 
   /**
@@ -208,13 +214,13 @@
    * it meanwhile; this request is sent to another upstream only if it may run more than once, since
    * an idle connection does not show that the request has not run.
    */
-  private void onIdle(long silentMs) {
+  private void onIdle(long idleMs) {
     if (finished || owner.hasEnded()) {
       return;
     }
     load.onFailure(dependencies.timers().nowMs());
     if (owner.tryAcquireRerun()) {
-      recordFailure("nothing received for " + silentMs + " ms");
+      recordFailure("nothing received for " + idleMs + " ms");
       cancel();
       owner.tryNextUpstream();
     }
@@ -258,14 +264,14 @@
   }
 
   @Override
-  public void onHead(HttpResponse newAnswer, ResponseMetadata marks) {
+  public void onHead(HttpResponse newResponse, ResponseMetadata metadata) {
     onReceived();
-    response = newAnswer;
+    response = newResponse;
     int status = response.status().code();
     if (status != MISDIRECTED) {
-      applyMetadata(marks);
+      applyMetadata(metadata);
     }
-    if (marks.notRun() || status == MISDIRECTED) {
+    if (metadata.notRun() || status == MISDIRECTED) {
       onNotRun(status);
       return;
     }
@@ -278,14 +284,14 @@
     }
   }
 
-  private void applyMetadata(ResponseMetadata marks) {
-    if (marks.runningCount().isPresent()) {
+  private void applyMetadata(ResponseMetadata metadata) {
+    if (metadata.runningCount().isPresent()) {
       load.onReport(
-          marks.runningCount().getAsInt(),
-          marks.queuedCount().orElse(0),
+          metadata.runningCount().getAsInt(),
+          metadata.queuedCount().orElse(0),
           idleTimer.lastReceivedMs());
     }
-    dependencies.selfReports().onAnswer(upstream, sentMs, marks.selfReport());
+    dependencies.selfReports().onAnswer(upstream, sentMs, metadata.selfReport());
   }
 
   private void onNotRun(int status) {
@@ -365,7 +371,7 @@
    */
   private void recordCompletedRun() {
     if (UpstreamConnection.isSelfDelimited(response)) {
-      owner.suspicion().onSuccess();
+      owner.requestCrashGuard().onSuccess();
     }
   }
 
@@ -418,9 +424,9 @@
 
   private void reportToCrashGuard(ResponseFailure cause) {
     switch (cause) {
-      case CLOSED -> owner.suspicion().onConnectionLost(upstream);
-      case REPLACED -> owner.suspicion().onUpstreamReplaced(upstream);
-      default -> owner.suspicion().onInvalidAnswer();
+      case CLOSED -> owner.requestCrashGuard().onConnectionLost(upstream);
+      case REPLACED -> owner.requestCrashGuard().onUpstreamReplaced(upstream);
+      default -> owner.requestCrashGuard().onInvalidAnswer();
     }
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
@@ -60,16 +60,16 @@
   private String reason = "";
   private long reservationMs;
   private AdmittedRequest admitted;
-  private RequestCrashGuard suspicion;
+  private RequestCrashGuard requestCrashGuard;
   private Subscription deadlineTimer = () -> {};
   private SpendingReservation reservation = SpendingReservation.UNLIMITED;
   private boolean reserved;
   private ForwardAttempt attempt;
   private boolean ended;
 
-  ForwardExchange(ReceivedRequest arrival) {
-    this.received = arrival;
-    this.dependencies = arrival.dependencies();
+  ForwardExchange(ReceivedRequest received) {
+    this.received = received;
+    this.dependencies = received.dependencies();
     this.plan = dependencies.plan().read();
   }
 
@@ -81,10 +81,10 @@
       admitAndSend();
       return;
     }
-    CompletableFuture<Void> waited = new CompletableFuture<>();
-    dependencies.initialStateLoaded().thenRun(() -> waited.complete(null));
-    deadlineTimer = dependencies.timers().after(INITIAL_STATE_WAIT_MS, () -> waited.complete(null));
-    waited.thenRun(() -> runOnEventLoop(this::startAfterWait));
+    CompletableFuture<Void> ready = new CompletableFuture<>();
+    dependencies.initialStateLoaded().thenRun(() -> ready.complete(null));
+    deadlineTimer = dependencies.timers().after(INITIAL_STATE_WAIT_MS, () -> ready.complete(null));
+    ready.thenRun(() -> runOnEventLoop(this::startAfterWait));
   }
 
   private void startAfterWait() {
@@ -101,7 +101,7 @@
       refuse(refusal.get());
       return;
     }
-    suspicion =
+    requestCrashGuard =
         new RequestCrashGuard(
             dependencies.crashGuard(), admitted::fingerprint, dependencies.timers());
     dependencies.retries().onRequest(admitted.service());
@@ -115,7 +115,7 @@
    * decided.
    */
   private void unlessQuarantined(Runnable next) {
-    suspicion.decide(
+    requestCrashGuard.decide(
         this::runOnEventLoop,
         () -> ifActive(next),
         record -> ifActive(() -> refuseQuarantined(record)));
@@ -212,8 +212,8 @@
     UpstreamQuery query = query();
     Optional<RegisteredUpstream> upstream = dependencies.picker().pick(query);
     if (upstream.isEmpty()) {
-      Rejection objection = dependencies.checks().findRejection(query);
-      endWithoutResponse(objection.cause(), objection.retryAfterMs());
+      Rejection rejection = dependencies.checks().findRejection(query);
+      endWithoutResponse(rejection.cause(), rejection.retryAfterMs());
       return;
     }
     triedIncarnations.add(upstream.get().incarnation());
@@ -229,7 +229,7 @@
         admitted.allowedRegions(),
         triedIncarnations,
         new Eligibility(
-            admitted.deadlineMs(), !needsTokens() || reserved, suspicion::isQuarantined));
+            admitted.deadlineMs(), !needsTokens() || reserved, requestCrashGuard::isQuarantined));
   }
 
   private boolean needsTokens() {
@@ -237,7 +237,7 @@
   }
 
   @Override
-  public boolean admits(RegisteredUpstream upstream) {
+  public boolean mayBeSentTo(RegisteredUpstream upstream) {
     return dependencies.checks().admit(upstream, query());
   }
 
@@ -305,11 +305,11 @@
   public void end(String outcome, int status) {
     ended = true;
     deadlineTimer.cancel();
-    RequestCost bill = new RequestCost(received.call().prompt(), progress);
-    long owedTokens = admitted == null ? 0 : bill.chargedTokens(plan, admitted.service());
-    reservation.settle(owedTokens);
+    RequestCost cost = new RequestCost(received.call().prompt(), progress);
+    long chargedTokens = admitted == null ? 0 : cost.chargedTokens(plan, admitted.service());
+    reservation.settle(chargedTokens);
     Optional<Fingerprint> fingerprint =
-        suspicion == null ? Optional.empty() : suspicion.computedFingerprint();
+        requestCrashGuard == null ? Optional.empty() : requestCrashGuard.computedFingerprint();
     received.body().release();
     dependencies
         .log()
@@ -322,7 +322,7 @@
                 status,
                 reason,
                 attempt == null ? progress.attempts : attempt.recordAndGetAttempts(outcome),
-                new ForwardedRequestLog.Tokens(bill.maxTokens(), owedTokens),
+                new ForwardedRequestLog.Tokens(cost.maxTokens(), chargedTokens),
                 reservationMs,
                 progress.firstByteMs,
                 dependencies.timers().nowMs() - received.startMs(),
@@ -351,8 +351,8 @@
   }
 
   @Override
-  public RequestCrashGuard suspicion() {
-    return suspicion;
+  public RequestCrashGuard requestCrashGuard() {
+    return requestCrashGuard;
   }
 
   private void runOnEventLoop(Runnable task) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardServer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardServer.java
@@ -40,20 +40,23 @@
    * Creates the server and starts accepting callers.
    *
    * @param group the event loops
-   * @param parts the dependencies of requests
-   * @param opened the listening socket
-   * @param maxKeptBytes the maximum number of body bytes buffered at a time
+   * @param dependencies the dependencies of requests
+   * @param socket the listening socket
+   * @param maxBufferedBytes the maximum number of body bytes buffered at a time
    */
   public ForwardServer(
-      EventLoopGroup group, ForwardDependencies parts, CallerListener opened, long maxKeptBytes) {
-    this.dependencies = parts;
-    this.state = new ForwardServerState(maxKeptBytes);
-    Timers timers = parts.timers();
+      EventLoopGroup group,
+      ForwardDependencies dependencies,
+      CallerListener socket,
+      long maxBufferedBytes) {
+    this.dependencies = dependencies;
+    this.state = new ForwardServerState(maxBufferedBytes);
+    Timers timers = dependencies.timers();
     timers.every(IDLE_CHECK_INTERVAL_MS, () -> closeIdleConnections(timers.nowMs()));
     this.listener =
         new ServerBootstrap()
             .group(group)
-            .channelFactory(() -> new NioServerSocketChannel(opened.channel()))
+            .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
@@ -128,7 +131,7 @@
    * that are told early that their request was not run retry once the next process is available.
    */
   public void refuseNew() {
-    state.refuse();
+    state.refuseNew();
     listener.close();
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardServerState.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardServerState.java
@@ -33,8 +33,8 @@
   private volatile boolean draining;
   private volatile boolean refusing;
 
-  ForwardServerState(long maxKeptBytes) {
-    this.maxBufferedBytes = maxKeptBytes;
+  ForwardServerState(long maxBufferedBytes) {
+    this.maxBufferedBytes = maxBufferedBytes;
   }
 
   boolean tryReserveBytes(int bytes) {
@@ -77,7 +77,7 @@
     draining = true;
   }
 
-  void refuse() {
+  void refuseNew() {
     refusing = true;
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardedRequestLog.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardedRequestLog.java
@@ -10,9 +10,9 @@
   /**
    * Called when a request has ended.
    *
-   * @param story the log entry of the request
+   * @param entry the log entry of the request
    */
-  void onEnded(Entry story);
+  void onEnded(Entry entry);
 
   /**
    * The log entry of one request.
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/IdleTimer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/IdleTimer.java
@@ -26,15 +26,15 @@
    *
    * @param timers the clock and timers
    * @param loop the executor on which the callback runs
-   * @param limitMs how long nothing may be received
-   * @param onSilent receives the time since anything was last received; called again each time the
+   * @param timeoutMs how long nothing may be received
+   * @param onIdle receives the time since anything was last received; called again each time the
    *     timeout has passed once more
    */
-  IdleTimer(Timers timers, Executor loop, long limitMs, LongConsumer onSilent) {
+  IdleTimer(Timers timers, Executor loop, long timeoutMs, LongConsumer onIdle) {
     this.timers = timers;
     this.loop = loop;
-    this.timeoutMs = limitMs;
-    this.onIdle = onSilent;
+    this.timeoutMs = timeoutMs;
+    this.onIdle = onIdle;
   }
 
   void start() {
@@ -65,12 +65,12 @@
     if (stopped) {
       return;
     }
-    long silentMs = timers.nowMs() - lastReceivedMs;
-    if (silentMs < timeoutMs) {
-      checkIn(timeoutMs - silentMs);
+    long idleMs = timers.nowMs() - lastReceivedMs;
+    if (idleMs < timeoutMs) {
+      checkIn(timeoutMs - idleMs);
       return;
     }
     checkIn(timeoutMs);
-    onIdle.accept(silentMs);
+    onIdle.accept(idleMs);
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/RequestCost.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/RequestCost.java
@@ -26,12 +26,13 @@
     if (!progress.mayHaveRun || prompt.isEmpty()) {
       return 0;
     }
-    int perEvent =
+    int tokensPerEvent =
         plan.findService(service)
             .flatMap(ServicePlan::engine)
             .map(ServicePlan.EnginePlan::tokensPerEvent)
             .orElse(1);
-    long output = Math.min(prompt.get().maxOutputTokens(), progress.eventCount * perEvent);
-    return prompt.get().inputTokens() + output;
+    long outputTokens =
+        Math.min(prompt.get().maxOutputTokens(), progress.eventCount * tokensPerEvent);
+    return prompt.get().inputTokens() + outputTokens;
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamConnection.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamConnection.java
@@ -76,8 +76,8 @@
     context.close();
   }
 
-  boolean isUsable(long nowMs, double shareOfIdleLimit) {
-    return context.channel().isActive() && nowMs - idleSinceMs < keepAliveMs * shareOfIdleLimit;
+  boolean isUsable(long nowMs, double keepAliveShare) {
+    return context.channel().isActive() && nowMs - idleSinceMs < keepAliveMs * keepAliveShare;
   }
 
   void close() {
@@ -103,20 +103,20 @@
   }
 
   private void onHead(HttpResponse head) {
-    ResponseMetadata marks = dialect.readResponseMetadata(head);
-    Optional<String> answered = marks.requestId();
-    if (answered.isPresent() && !answered.get().equals(requestId)) {
+    ResponseMetadata metadata = dialect.readResponseMetadata(head);
+    Optional<String> answeredId = metadata.requestId();
+    if (answeredId.isPresent() && !answeredId.get().equals(requestId)) {
       skippingResponse = true;
       reusable = false;
       return;
     }
-    if (answered.isEmpty() && head.status().code() < FIRST_ERROR_STATUS) {
+    if (answeredId.isEmpty() && head.status().code() < FIRST_ERROR_STATUS) {
       failResponse(ResponseFailure.PROTOCOL_ERROR, "response has no request id");
       return;
     }
     reusable = reusable && HttpUtil.isKeepAlive(head) && isSelfDelimited(head);
-    marks.keepAliveMs().ifPresent(idleMs -> keepAliveMs = idleMs);
-    sink.onHead(head, marks);
+    metadata.keepAliveMs().ifPresent(idleMs -> keepAliveMs = idleMs);
+    sink.onHead(head, metadata);
   }
 
   /**
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamPool.java
@@ -45,13 +45,13 @@
   private final Dialect dialect;
   private final Timers timers;
   private final WorkStats workStats;
-  private final Map<String, Deque<UpstreamConnection>> idle = new HashMap<>();
+  private final Map<String, Deque<UpstreamConnection>> idleConnections = new HashMap<>();
 
-  UpstreamPool(EventLoop loop, Dialect dialect, Timers timers, WorkStats work) {
+  UpstreamPool(EventLoop loop, Dialect dialect, Timers timers, WorkStats workStats) {
     this.loop = loop;
     this.dialect = dialect;
     this.timers = timers;
-    this.workStats = work;
+    this.workStats = workStats;
   }
 
   long nowMs() {
@@ -75,7 +75,7 @@
       Consumer<Throwable> onFailed) {
     double share = nonIdempotent ? MAX_KEEP_ALIVE_SHARE_NON_IDEMPOTENT : MAX_KEEP_ALIVE_SHARE;
     Deque<UpstreamConnection> connections =
-        idle.getOrDefault(upstream.incarnation(), new ArrayDeque<>());
+        idleConnections.getOrDefault(upstream.incarnation(), new ArrayDeque<>());
     UpstreamConnection newest = connections.pollLast();
     if (newest != null && newest.isUsable(nowMs(), share)) {
       onConnected.accept(newest);
@@ -120,11 +120,13 @@
   }
 
   void release(UpstreamConnection connection) {
-    idle.computeIfAbsent(connection.incarnation(), name -> new ArrayDeque<>()).addLast(connection);
+    idleConnections
+        .computeIfAbsent(connection.incarnation(), name -> new ArrayDeque<>())
+        .addLast(connection);
   }
 
   void remove(UpstreamConnection connection) {
-    Deque<UpstreamConnection> connections = idle.get(connection.incarnation());
+    Deque<UpstreamConnection> connections = idleConnections.get(connection.incarnation());
     if (connections != null) {
       connections.remove(connection);
     }
@@ -133,13 +135,14 @@
   /** Closes connections that have been idle for too long; called periodically. */
   void closeIdle() {
     long nowMs = nowMs();
-    idle.values()
+    idleConnections
+        .values()
         .forEach(
             connections ->
                 connections.stream()
                     .filter(connection -> !connection.isUsable(nowMs, MAX_KEEP_ALIVE_SHARE))
                     .toList()
                     .forEach(UpstreamConnection::close));
-    idle.values().removeIf(Deque::isEmpty);
+    idleConnections.values().removeIf(Deque::isEmpty);
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
@@ -62,17 +62,19 @@
   /** Shares one probe among all requests that an upstream breaks off at the same time. */
   @Override
   public CompletableFuture<Boolean> hasTerminated(RegisteredUpstream upstream) {
-    CompletableFuture<Boolean> first = new CompletableFuture<>();
-    CompletableFuture<Boolean> running = pendingProbes.putIfAbsent(upstream.incarnation(), first);
-    if (running != null) {
-      return running;
+    CompletableFuture<Boolean> result = new CompletableFuture<>();
+    CompletableFuture<Boolean> pending = pendingProbes.putIfAbsent(upstream.incarnation(), result);
+    if (pending != null) {
+      return pending;
     }
-    first.whenComplete((ended, error) -> pendingProbes.remove(upstream.incarnation(), first));
-    probe(upstream, first, 1);
-    return first;
+    result.whenComplete(
+        (terminated, error) -> pendingProbes.remove(upstream.incarnation(), result));
+    probe(upstream, result, 1);
+    return result;
   }
 
-  private void probe(RegisteredUpstream upstream, CompletableFuture<Boolean> ended, int number) {
+  private void probe(
+      RegisteredUpstream upstream, CompletableFuture<Boolean> terminated, int attempt) {
     new Bootstrap()
         .group(group)
         .channel(NioSocketChannel.class)
@@ -81,18 +83,18 @@
         .connect(upstream.host(), upstream.port())
         .addListener(
             (ChannelFuture connected) -> {
-              boolean taken = connected.isSuccess();
-              if (taken) {
+              boolean accepted = connected.isSuccess();
+              if (accepted) {
                 connected.channel().close();
               }
-              if (!taken && ConnectErrors.isConnectionRefused(connected.cause())) {
-                ended.complete(true);
-              } else if (number >= (taken ? MAX_PROBES_IF_ACCEPTED : MAX_PROBES)) {
-                ended.complete(false);
+              if (!accepted && ConnectErrors.isConnectionRefused(connected.cause())) {
+                terminated.complete(true);
+              } else if (attempt >= (accepted ? MAX_PROBES_IF_ACCEPTED : MAX_PROBES)) {
+                terminated.complete(false);
               } else {
                 timers.after(
-                    taken ? SETTLE_MS : PROBE_INTERVAL_MS,
-                    () -> probe(upstream, ended, number + 1));
+                    accepted ? SETTLE_MS : PROBE_INTERVAL_MS,
+                    () -> probe(upstream, terminated, attempt + 1));
               }
             });
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamRequest.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamRequest.java
@@ -17,26 +17,26 @@
   private UpstreamRequest() {}
 
   static DefaultFullHttpRequest of(
-      AdmittedRequest work, String upstreamId, OptionalLong lastEventId) {
-    UpstreamRequestContext send =
+      AdmittedRequest admitted, String upstreamId, OptionalLong lastEventId) {
+    UpstreamRequestContext context =
         new UpstreamRequestContext(
             upstreamId,
-            work.team().map(TeamPlan::name),
-            OptionalLong.of(work.remainingMs()),
-            urgency(work),
-            lastEventId.isPresent() ? lastEventId : work.call().lastEventId());
-    HttpHeaders fromCaller = work.received().head().headers();
+            admitted.team().map(TeamPlan::name),
+            OptionalLong.of(admitted.remainingMs()),
+            urgency(admitted),
+            lastEventId.isPresent() ? lastEventId : admitted.call().lastEventId());
+    HttpHeaders fromCaller = admitted.received().head().headers();
     HttpHeaders headers =
-        work.received().dependencies().dialect().upstreamRequestHeaders(fromCaller, send);
-    if (work.received().body().isReadable()
+        admitted.received().dependencies().dialect().upstreamRequestHeaders(fromCaller, context);
+    if (admitted.received().body().isReadable()
         || fromCaller.contains(HttpHeaderNames.CONTENT_LENGTH)) {
-      headers.set(HttpHeaderNames.CONTENT_LENGTH, work.received().body().readableBytes());
+      headers.set(HttpHeaderNames.CONTENT_LENGTH, admitted.received().body().readableBytes());
     }
     return new DefaultFullHttpRequest(
         HttpVersion.HTTP_1_1,
-        work.received().head().method(),
-        work.received().head().uri(),
-        work.received().body().retainedDuplicate(),
+        admitted.received().head().method(),
+        admitted.received().head().uri(),
+        admitted.received().body().retainedDuplicate(),
         headers,
         new DefaultHttpHeaders());
   }
@@ -45,11 +45,11 @@
    * Returns the urgency: the team's priority takes precedence over the route's; plain requests have
    * none.
    */
-  private static OptionalInt urgency(AdmittedRequest work) {
-    if (work.call().prompt().isEmpty()) {
+  private static OptionalInt urgency(AdmittedRequest admitted) {
+    if (admitted.call().prompt().isEmpty()) {
       return OptionalInt.empty();
     }
-    OptionalInt ofTeam = work.team().map(TeamPlan::priority).orElse(OptionalInt.empty());
-    return OptionalInt.of(Math.min(MAX_URGENCY, ofTeam.orElse(work.route().priority())));
+    OptionalInt teamPriority = admitted.team().map(TeamPlan::priority).orElse(OptionalInt.empty());
+    return OptionalInt.of(Math.min(MAX_URGENCY, teamPriority.orElse(admitted.route().priority())));
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamSink.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamSink.java
@@ -10,9 +10,9 @@
    * Called when the response head has arrived.
    *
    * @param head the response head
-   * @param marks its metadata
+   * @param metadata its metadata
    */
-  void onHead(HttpResponse head, ResponseMetadata marks);
+  void onHead(HttpResponse head, ResponseMetadata metadata);
 
   /**
    * Called when bytes of the body have arrived.
--- a/mothrill-wire/src/test/java/io/mothrill/wire/forward/EventSplitterTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/forward/EventSplitterTest.java
@@ -12,16 +12,16 @@
 
   private final EventSplitter splitter = new EventSplitter();
 
-  private List<EventSplitter.Event> take(String text) {
+  private List<EventSplitter.Event> split(String text) {
     return splitter.split(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
   }
 
   @Test
-  void givesWholeEventsOnly() {
-    assertThat(take("id: 4\nda")).isEmpty();
+  void returnsCompleteEventsOnly() {
+    assertThat(split("id: 4\nda")).isEmpty();
     assertThat(splitter.hasPartial()).isTrue();
 
-    List<EventSplitter.Event> events = take("ta: x\n\nid: 5\ndata: y\n\nid:");
+    List<EventSplitter.Event> events = split("ta: x\n\nid: 5\ndata: y\n\nid:");
 
     assertThat(events.stream().map(EventSplitter.Event::id))
         .containsExactly(OptionalLong.of(4), OptionalLong.of(5));
@@ -31,13 +31,13 @@
   }
 
   @Test
-  void understandsBothKindsOfLineEnds() {
-    assertThat(take("id: 1\r\ndata: x\r\n\r\n")).hasSize(1);
+  void acceptsBothLineEndings() {
+    assertThat(split("id: 1\r\ndata: x\r\n\r\n")).hasSize(1);
     assertThat(splitter.hasPartial()).isFalse();
   }
 
   @Test
-  void passesEventsWithoutAnId() {
-    assertThat(take("data: x\n\n").get(0).id()).isEqualTo(OptionalLong.empty());
+  void returnsEventsWithoutId() {
+    assertThat(split("data: x\n\n").get(0).id()).isEqualTo(OptionalLong.empty());
   }
 }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/forward/StrictRequestDecoderTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/forward/StrictRequestDecoderTest.java
@@ -26,37 +26,37 @@
   }
 
   @Test
-  void refusesLengthBesideChunks() {
+  void rejectsLengthWithChunkedEncoding() {
     assertThat(isAccepted("Content-Length: 3", "Transfer-Encoding: chunked")).isFalse();
   }
 
   @Test
-  void refusesTwoLengths() {
+  void rejectsDuplicateLength() {
     assertThat(isAccepted("Content-Length: 3", "Content-Length: 4")).isFalse();
   }
 
   @Test
-  void refusesCodingThatItDoesNotKnow() {
+  void rejectsUnknownTransferCoding() {
     assertThat(isAccepted("Transfer-Encoding: xchunked")).isFalse();
   }
 
   @Test
-  void refusesChunksNamedTwice() {
+  void rejectsDuplicateChunkedEncoding() {
     assertThat(isAccepted("Transfer-Encoding: chunked", "Transfer-Encoding: chunked")).isFalse();
   }
 
   @Test
-  void refusesSpaceBeforeTheColon() {
+  void rejectsSpaceBeforeColon() {
     assertThat(isAccepted("Content-Length : 3")).isFalse();
   }
 
   @Test
-  void acceptsLengthOrChunks() {
+  void acceptsContentLength() {
     assertThat(isAccepted("Content-Length: 0")).isTrue();
   }
 
   @Test
-  void acceptsChunks() {
+  void acceptsChunkedEncoding() {
     assertThat(isAccepted("Transfer-Encoding: chunked")).isTrue();
   }
 }
