--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/IdleTimer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/IdleTimer.java
@@ -6,9 +6,10 @@
 import java.util.function.LongConsumer;
 
 /**
- * Watches for an upstream that says nothing; confined to its request's event loop.
+ * Detects that nothing was received from an upstream for a given time; confined to the event loop
+ * of its request.
  *
- * <p>Nothing else shows an upstream that is dead or cut off without a reset.
+ * <p>Nothing else reveals an upstream that is dead or partitioned without a connection reset.
  */
 final class IdleTimer {
 
@@ -21,19 +22,19 @@
   private boolean stopped;
 
   /**
-   * Creates a watch that does not run yet.
+   * Creates a timer that is not running yet.
    *
-   * @param timers the time
-   * @param loop where silence is told
-   * @param limitMs how long an upstream may say nothing
-   * @param onSilent is told for how long it has said nothing, and again each time that much more
-   *     has passed
+   * @param timers the clock and timers
+   * @param loop the executor on which the callback runs
+   * @param timeoutMs how long nothing may be received
+   * @param onIdle receives the time since anything was last received; called again each time the
+   *     timeout has passed once more
    */
-  IdleTimer(Timers timers, Executor loop, long limitMs, LongConsumer onSilent) {
+  IdleTimer(Timers timers, Executor loop, long timeoutMs, LongConsumer onIdle) {
     this.timers = timers;
     this.loop = loop;
-    this.timeoutMs = limitMs;
-    this.onIdle = onSilent;
+    this.timeoutMs = timeoutMs;
+    this.onIdle = onIdle;
   }
 
   void start() {
@@ -45,7 +46,7 @@
     lastReceivedMs = timers.nowMs();
   }
 
-  /** Gives when something was heard last. */
+  /** Returns when something was last received. */
   long lastReceivedMs() {
     return lastReceivedMs;
   }
@@ -64,12 +65,12 @@
     if (stopped) {
       return;
     }
-    long silentMs = timers.nowMs() - lastReceivedMs;
-    if (silentMs < timeoutMs) {
-      checkIn(timeoutMs - silentMs);
+    long idleMs = timers.nowMs() - lastReceivedMs;
+    if (idleMs < timeoutMs) {
+      checkIn(timeoutMs - idleMs);
       return;
     }
     checkIn(timeoutMs);
-    onIdle.accept(silentMs);
+    onIdle.accept(idleMs);
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/UpstreamProbe.java
@@ -14,18 +14,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Tells an upstream that has ended from one that closed or reset a connection, by connecting again.
+ * Checks whether an upstream has terminated, or only closed or reset a connection, by connecting to
+ * it again.
  *
- * <p>The machine of a process that has ended refuses connections to its port. One that goes on
- * takes them, also while it resets some, fails requests or answers wrongly. One behind a cut does
- * neither: it is asked again for some seconds, as a cut may hide an end, and then nothing is said
- * against the request.
+ * <p>The host of a terminated process refuses connections to its port. A running process accepts
+ * them, even while it resets some connections, fails requests or answers incorrectly. A process
+ * behind a network partition does neither: it is probed again for a few seconds, because the
+ * partition may hide its termination, and after that nothing is held against the request.
  */
 public final class UpstreamProbe implements TerminationProbe {
 
   /**
-   * A process that ends closes its connections and its port within milliseconds of each other. One
-   * that still takes a connection is looked at once more after this time.
+   * A terminating process closes its connections and its port within milliseconds of each other. A
+   * process that still accepts a connection is probed once more after this time.
    */
   private static final long SETTLE_MS = 25;
 
@@ -33,8 +34,9 @@
   private static final int CONNECT_TIMEOUT_MS = 500;
 
   /**
-   * Looks at an upstream that gives no sign, a second apart with the timeout. An upstream that
-   * ended is back after some seconds, and then nothing is to be found out any more.
+   * Maximum number of probes of an upstream that does not respond, one second apart including the
+   * timeout. A terminated upstream has restarted after a few seconds, and then a probe shows
+   * nothing any more.
    */
   private static final int MAX_PROBES = 4;
 
@@ -50,27 +52,29 @@
    * Creates the probe.
    *
    * @param group the event loops
-   * @param timers the time
+   * @param timers the clock and timers
    */
   public UpstreamProbe(EventLoopGroup group, Timers timers) {
     this.group = group;
     this.timers = timers;
   }
 
-  /** Looks once for all requests that an upstream breaks off at the same time. */
+  /** Shares one probe among all requests that an upstream breaks off at the same time. */
   @Override
   public CompletableFuture<Boolean> hasTerminated(RegisteredUpstream upstream) {
-    CompletableFuture<Boolean> first = new CompletableFuture<>();
-    CompletableFuture<Boolean> running = pendingProbes.putIfAbsent(upstream.incarnation(), first);
-    if (running != null) {
-      return running;
+    CompletableFuture<Boolean> result = new CompletableFuture<>();
+    CompletableFuture<Boolean> pending = pendingProbes.putIfAbsent(upstream.incarnation(), result);
+    if (pending != null) {
+      return pending;
     }
-    first.whenComplete((ended, error) -> pendingProbes.remove(upstream.incarnation(), first));
-    probe(upstream, first, 1);
-    return first;
+    result.whenComplete(
+        (terminated, error) -> pendingProbes.remove(upstream.incarnation(), result));
+    probe(upstream, result, 1);
+    return result;
   }
 
-  private void probe(RegisteredUpstream upstream, CompletableFuture<Boolean> ended, int number) {
+  private void probe(
+      RegisteredUpstream upstream, CompletableFuture<Boolean> terminated, int attempt) {
     new Bootstrap()
         .group(group)
         .channel(NioSocketChannel.class)
@@ -79,18 +83,18 @@
         .connect(upstream.host(), upstream.port())
         .addListener(
             (ChannelFuture connected) -> {
-              boolean taken = connected.isSuccess();
-              if (taken) {
+              boolean accepted = connected.isSuccess();
+              if (accepted) {
                 connected.channel().close();
               }
-              if (!taken && ConnectErrors.isConnectionRefused(connected.cause())) {
-                ended.complete(true);
-              } else if (number >= (taken ? MAX_PROBES_IF_ACCEPTED : MAX_PROBES)) {
-                ended.complete(false);
+              if (!accepted && ConnectErrors.isConnectionRefused(connected.cause())) {
+                terminated.complete(true);
+              } else if (attempt >= (accepted ? MAX_PROBES_IF_ACCEPTED : MAX_PROBES)) {
+                terminated.complete(false);
               } else {
                 timers.after(
-                    taken ? SETTLE_MS : PROBE_INTERVAL_MS,
-                    () -> probe(upstream, ended, number + 1));
+                    accepted ? SETTLE_MS : PROBE_INTERVAL_MS,
+                    () -> probe(upstream, terminated, attempt + 1));
               }
             });
   }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/forward/StrictRequestDecoderTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/forward/StrictRequestDecoderTest.java
@@ -9,10 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request whose end two programs could see in different places is refused.
- *
- * <p>Otherwise what one of them takes for the body is the next request for the other: a request
- * that no caller has sent.
+ * Guards against request smuggling: two programs see the end of a request in different places, and
+ * what one takes for its body is the next request for the other, which no caller has sent. Such
+ * requests are rejected.
  */
 class StrictRequestDecoderTest {
 
@@ -27,37 +26,37 @@
   }
 
   @Test
-  void refusesLengthBesideChunks() {
+  void rejectsLengthWithChunkedEncoding() {
     assertThat(isAccepted("Content-Length: 3", "Transfer-Encoding: chunked")).isFalse();
   }
 
   @Test
-  void refusesTwoLengths() {
+  void rejectsDuplicateLength() {
     assertThat(isAccepted("Content-Length: 3", "Content-Length: 4")).isFalse();
   }
 
   @Test
-  void refusesCodingThatItDoesNotKnow() {
+  void rejectsUnknownTransferCoding() {
     assertThat(isAccepted("Transfer-Encoding: xchunked")).isFalse();
   }
 
   @Test
-  void refusesChunksNamedTwice() {
+  void rejectsDuplicateChunkedEncoding() {
     assertThat(isAccepted("Transfer-Encoding: chunked", "Transfer-Encoding: chunked")).isFalse();
   }
 
   @Test
-  void refusesSpaceBeforeTheColon() {
+  void rejectsSpaceBeforeColon() {
     assertThat(isAccepted("Content-Length : 3")).isFalse();
   }
 
   @Test
-  void acceptsLengthOrChunks() {
+  void acceptsContentLength() {
     assertThat(isAccepted("Content-Length: 0")).isTrue();
   }
 
   @Test
-  void acceptsChunks() {
+  void acceptsChunkedEncoding() {
     assertThat(isAccepted("Transfer-Encoding: chunked")).isTrue();
   }
 }
