--- a/mothrill-core/src/main/java/io/mothrill/core/audit/AuditReport.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/AuditReport.java
@@ -5,35 +5,35 @@
 import java.util.Set;
 
 /**
- * What an audit found.
+ * The result of an audit.
  *
- * @param budgets the sums of each budget
+ * @param budgets the totals of each budget
  * @param billedKeys the keys of the billed requests, as {@code team/key}
- * @param findings everything that is wrong; empty when the books are right
+ * @param findings every inconsistency; empty when the ledger is consistent
  */
 public record AuditReport(
     Map<String, Sums> budgets, Set<String> billedKeys, List<String> findings) {
 
   /**
-   * The sums of one budget.
+   * The totals of one budget.
    *
    * @param paidTokens the sum of its top-ups
-   * @param allottedTokens what is granted, or billed by closed allotments
+   * @param allottedTokens the tokens granted to open allotments plus those billed by closed ones
    * @param billedTokens the sum of its ledger
    */
   public record Sums(long paidTokens, long allottedTokens, long billedTokens) {}
 
   /**
-   * Counts the billed requests.
+   * Returns the number of billed requests.
    *
-   * @return requests
+   * @return the request count
    */
   public long billedRequestCount() {
     return billedKeys.size();
   }
 
   /**
-   * Says whether the books are right.
+   * Checks whether the audit found no inconsistency.
    *
    * @return true when there is no finding
    */
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Adds up the bills of all budgets.
+   * Returns the sum of the bills of all budgets.
    *
-   * @return tokens
+   * @return billed tokens
    */
   public long billedTokens() {
     return budgets.values().stream().mapToLong(Sums::billedTokens).sum();
--- a/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
@@ -16,10 +16,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the platform's table and checks that its sums agree.
+ * Audits the budget rows of the platform's table.
  *
- * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, the
- * paid sum is that of its top-ups, and no request is billed by two runs or twice by one.
+ * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, {@code paid} equals the sum of its top-ups, and no request is billed by two runs or twice by one run.
  *
  * <pre>{@code
  * new Auditor(table).audit().thenAccept(report -> report.findings().forEach(this::print));
@@ -41,9 +40,9 @@
   }
 
   /**
-   * Reads and checks all books.
+   * Reads all budget tables and checks them against each other.
    *
-   * @return the report; fails when the platform does not answer
+   * @return the report; fails when the platform does not respond
    */
   public CompletableFuture<AuditReport> audit() {
     CompletableFuture<List<Row>> budgets = scan(BudgetTables.BUDGETS);
@@ -79,7 +78,7 @@
             });
   }
 
-  /** The rows of all books, and what is wrong with them. */
+  /** Checks the rows of all budget tables and collects the findings. */
   private static final class LedgerCheck {
     private final List<Row> budgets;
     private final List<Row> topUps;
--- a/mothrill-core/src/main/java/io/mothrill/core/audit/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/package-info.java
@@ -1,2 +1,2 @@
-/** Checks the platform's books: what was paid, granted and billed. */
+/** Audits the platform's budget tables: paid, granted and billed tokens. */
 package io.mothrill.core.audit;
--- a/mothrill-core/src/main/java/io/mothrill/core/board/PublishedValue.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/board/PublishedValue.java
@@ -8,12 +8,12 @@
 import java.util.function.UnaryOperator;
 
 /**
- * One immutable value that one controller writes and any thread reads without a lock.
+ * An immutable value that a controller publishes and any thread reads without locking.
  *
  * <pre>{@code
- * Section<Integer> section = new Section<>(1);
- * section.subscribe(value -> react(value));
- * section.publish(2);
+ * PublishedValue<Integer> limit = new PublishedValue<>(1);
+ * limit.subscribe(value -> react(value));
+ * limit.publish(2);
  * }</pre>
  *
  * @param <T> an immutable type
@@ -24,25 +24,25 @@
   private final List<Consumer<T>> listeners = new CopyOnWriteArrayList<>();
 
   /**
-   * Creates a section.
+   * Creates the holder.
    *
-   * @param first the value until the first publication
+   * @param first the initial value, in place until the first publication
    */
   public PublishedValue(T first) {
     this.current = new AtomicReference<>(first);
   }
 
   /**
-   * Reads the value.
+   * Returns the current value.
    *
-   * @return the value published last
+   * @return the last published value
    */
   public T read() {
     return current.get();
   }
 
   /**
-   * Replaces the value and tells the listeners.
+   * Replaces the value and notifies the listeners.
    *
    * @param next the new value
    */
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Replaces the value by one made from it, and tells the listeners when it changed.
+   * Replaces the value with one computed from it, and notifies the listeners if it changed.
    *
-   * @param change makes the next value; may be called again when two threads race
+   * @param change computes the next value; may be called more than once when threads race
    */
   public void update(UnaryOperator<T> change) {
     T before = current.get();
@@ -69,10 +69,10 @@
   }
 
   /**
-   * Registers a listener for later values.
+   * Registers a listener for subsequent values.
    *
    * @param listener called on the publishing thread; must not block
-   * @return a handle that ends the registration
+   * @return a handle that removes the listener
    */
   public Subscription subscribe(Consumer<T> listener) {
     listeners.add(listener);
--- a/mothrill-core/src/main/java/io/mothrill/core/board/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/board/package-info.java
@@ -1,2 +1,2 @@
-/** The blackboard: immutable sections that controllers publish and request threads read. */
+/** Immutable values that controllers publish and request threads read without locking. */
 package io.mothrill.core.board;
--- a/mothrill-core/src/main/java/io/mothrill/core/config/Change.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/Change.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * One accepted change of configuration.
+ * An accepted configuration change.
  *
- * @param revision counts accepted changes, without gaps
+ * @param revision the sequence number of the change; revisions have no gaps
  * @param kind the kind of the changed resource
  * @param name its name
  * @param resource the resource after the change; empty when it was deleted
- * @param changeId the operator's id for the change
+ * @param changeId the id that the operator gave the change, for deduplication
  * @param who the operator
- * @param wallMs when it was accepted, milliseconds since the epoch
+ * @param wallMs when it was accepted, in milliseconds since the epoch
  */
 public record Change(
     long revision,
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ChangeRequest.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ChangeRequest.java
@@ -6,14 +6,14 @@
 import java.util.OptionalLong;
 
 /**
- * A change that an operator asks for.
+ * A configuration change requested by an operator.
  *
  * @param kind the kind of resource
  * @param name the resource's name
- * @param spec what it should become; empty to delete it
- * @param expectedVersion the resource version that must still stand, 0 for none; empty for any
- * @param changeId makes a repeated request harmless
- * @param who the operator, for the history
+ * @param spec the desired spec; empty to delete the resource
+ * @param expectedVersion the current resource version that the change requires, 0 if the resource must not exist; empty for any
+ * @param changeId makes the request idempotent
+ * @param who the operator, recorded in the change log
  */
 public record ChangeRequest(
     ResourceKind kind,
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
@@ -11,10 +11,9 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the blackboard's configuration up to date, upwards only.
+ * Keeps the published configuration up to date; its revision never decreases.
  *
- * <p>It asks the platform's table for later changes every poll, and any other source when that
- * source is known to be ahead, so a side that cannot reach the platform follows its peers.
+ * <p>It polls the platform's table for later changes, and reads from another source when that source is known to be ahead. Instances that cannot reach the platform therefore follow their peers.
  */
 public final class ConfigController {
 
@@ -27,14 +26,13 @@
   private final AtomicReference<List<Change>> recent = new AtomicReference<>(List.of());
 
   /**
-   * Creates the controller and starts to poll.
+   * Creates the controller and starts polling.
    *
-   * @param section where the configuration is published
+   * @param section receives the published configuration
    * @param store the platform's table
-   * @param timers the time
-   * @param pollMs milliseconds between two polls
-   * @param isTurn whether this instance polls now; in a large fleet only some do each time, and the
-   *     others hear of a later revision from their peers
+   * @param timers the timer service
+   * @param pollMs the poll interval in milliseconds
+   * @param isTurn whether this instance polls in this interval; in a large fleet only some instances do, and the others learn of a later revision from their peers
    */
   public ConfigController(
       PublishedValue<ConfigSnapshot> section,
@@ -54,7 +52,7 @@
     }
   }
 
-  /** Asks the platform's table for later changes, unless a poll is still under way. */
+  /** Polls the platform's table for later changes, unless a poll is still in progress. */
   public void poll() {
     if (!polling.compareAndSet(false, true)) {
       return;
@@ -75,7 +73,7 @@
   /**
    * Reads later changes from a source that is ahead.
    *
-   * @param source a peer that has a later revision
+   * @param source a peer with a later revision
    */
   public void catchUp(ChangeSource source) {
     var unused = readAfter(source);
@@ -99,19 +97,18 @@
   }
 
   /**
-   * Takes up changes that follow the held revision.
+   * Applies changes that follow the current revision.
    *
-   * <p>A list with a gap is refused: taking it up would skip a change for good, because later reads
-   * start after the highest revision held.
+   * <p>A list with a gap is ignored: applying it would lose the missing change permanently, because later reads start after the highest applied revision.
    *
-   * @param changes changes in order of revision
+   * @param changes the changes, ordered by revision
    */
   public void applyChanges(List<Change> changes) {
     section.update(held -> isGapless(held, changes) ? held.with(changes) : held);
     recent.updateAndGet(before -> appendRecent(before, changes));
   }
 
-  /** Keeps the last changes for peers that cannot reach the platform; drops all at a gap. */
+  /** Keeps the most recent changes for peers that cannot reach the platform. Earlier changes are dropped when a gap follows them. */
   private static List<Change> appendRecent(List<Change> before, List<Change> changes) {
     List<Change> kept = new ArrayList<>(before);
     for (Change change : changes) {
@@ -127,11 +124,11 @@
   }
 
   /**
-   * Gives the changes that follow a revision, as far as they are kept here.
+   * Returns the changes that follow a revision, if they are still kept here.
    *
-   * @param revision the last revision that the asker holds
-   * @param limit at most this many
-   * @return the changes without a gap; empty when the next one is not kept
+   * @param revision the last revision that the requester has
+   * @param limit the maximum number of changes
+   * @return the changes, without gaps; empty when the next one is not kept
    */
   public List<Change> recentAfter(long revision, int limit) {
     List<Change> newer =
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
@@ -14,7 +14,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** All resources at one revision; immutable. */
+/** An immutable snapshot of all resources at one revision. */
 public final class ConfigSnapshot {
 
   private static final ConfigSnapshot EMPTY =
@@ -33,18 +33,18 @@
   }
 
   /**
-   * Gives the configuration before the first change.
+   * Returns the configuration before the first change.
    *
-   * @return revision 0 without resources
+   * @return an empty snapshot at revision 0
    */
   public static ConfigSnapshot empty() {
     return EMPTY;
   }
 
   /**
-   * Gives resources that were read together.
+   * Creates a snapshot of resources that were read together.
    *
-   * @param revision a revision that all of them are in force at
+   * @param revision a revision at which all of them are in force
    * @param resources the resources
    * @return the snapshot
    */
@@ -59,13 +59,12 @@
   }
 
   /**
-   * Takes up later changes.
+   * Applies later changes.
    *
-   * <p>A change that is not newer than what is held is passed over, so that changes may arrive
-   * twice and from several sources without anything going back.
+   * <p>Changes that are not newer than the current state are ignored, so changes may arrive repeatedly and from several sources without reverting anything.
    *
-   * @param changes changes in order of revision
-   * @return a snapshot at the last change's revision, or this one when nothing was newer
+   * @param changes the changes, ordered by revision
+   * @return a snapshot at the revision of the last change, or this one when no change was newer
    */
   public ConfigSnapshot with(List<Change> changes) {
     List<Change> newer = changes.stream().filter(change -> change.revision() > revision).toList();
@@ -91,9 +90,9 @@
   }
 
   /**
-   * Gives the revision.
+   * Returns the revision.
    *
-   * @return the number of the last change that is in force
+   * @return the revision of the last applied change
    */
   public long revision() {
     return revision;
@@ -111,10 +110,10 @@
   }
 
   /**
-   * Lists all resources of a kind.
+   * Returns all resources of a kind.
    *
    * @param kind the kind
-   * @return the resources in order of their names
+   * @return the resources, ordered by name
    */
   public List<Resource> list(ResourceKind kind) {
     return List.copyOf(resources.getOrDefault(kind, Map.of()).values());
@@ -141,11 +140,11 @@
   }
 
   /**
-   * Lists the budgets that a team may use for a service.
+   * Returns the budgets that a team may use for a service.
    *
    * @param team the team's name
    * @param service the service's name
-   * @return names of budgets, in their order
+   * @return the names of the budgets, ordered
    */
   public List<String> budgets(String team, String service) {
     return budgetsByTeam.getOrDefault(team, List.of()).stream()
@@ -155,21 +154,21 @@
   }
 
   /**
-   * Says whether operators are emptying a failure domain.
+   * Checks whether operators are evacuating a failure domain.
    *
    * @param domain the failure domain
-   * @return true when its upstreams are to get nothing new
+   * @return true when its upstreams must get no new requests
    */
   public boolean isEvacuated(String domain) {
     return find(ResourceKind.EVACUATION, domain).isPresent();
   }
 
   /**
-   * Lists what refers to a resource.
+   * Returns the resources that refer to a resource.
    *
    * @param kind its kind
    * @param name its name
-   * @return the resources that name it
+   * @return the referring resources
    */
   public List<Resource> dependents(ResourceKind kind, String name) {
     return switch (kind) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
@@ -30,12 +30,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Accepts changes of configuration, each in one transaction of the platform's table.
+ * Accepts configuration changes, each in one transaction on the platform's table.
  *
- * <p>A transaction writes the resource, the next revision, the change itself and the change id.
- * Operators who race on a resource, or on the revision, therefore collide: one of them is accepted
- * and the other reads again. An operator whose answer was lost sends the same change id again and
- * gets the first answer.
+ * <p>The transaction writes the resource, the next revision, the change and the change id. Concurrent changes to a resource or to the revision therefore conflict: one is accepted and the other is retried on fresh rows. An operator who lost the response sends the same change id again and gets the original result.
  */
 public final class ConfigStore implements ChangeSource {
 
@@ -50,8 +47,8 @@
    * Creates the store.
    *
    * @param table the platform's table
-   * @param codec how resources are written
-   * @param timers the time
+   * @param codec serializes resources
+   * @param timers the timer service
    */
   public ConfigStore(TableService table, ResourceCodec codec, Timers timers) {
     this.table = table;
@@ -60,10 +57,10 @@
   }
 
   /**
-   * Accepts a change, or refuses it whole.
+   * Accepts a change, or rejects it as a whole.
    *
    * @param request the change
-   * @return the change as accepted; fails with {@link ConfigException} or {@link
+   * @return the accepted change; fails with {@link ConfigException} or {@link
    *     InvalidInputException}
    */
   public CompletableFuture<Change> change(ChangeRequest request) {
@@ -230,7 +227,7 @@
     }
   }
 
-  /** Refuses the deletion of a resource that others still name. */
+  /** Rejects the deletion of a resource that other resources still refer to. */
   private CompletableFuture<Void> checkUnused(ChangeRequest request) {
     return load()
         .thenAccept(
@@ -250,7 +247,7 @@
   /**
    * Reads the revision of the last accepted change.
    *
-   * @return the revision, 0 when there is none
+   * @return the revision; 0 when no change was accepted yet
    */
   public CompletableFuture<Long> revision() {
     return table
@@ -261,10 +258,9 @@
   /**
    * Reads the whole configuration.
    *
-   * <p>The revision is read first, so rows that change during the scan can only be newer than it;
-   * their changes are then read again from the change log, which does no harm.
+   * <p>The revision is read first, so rows that change during the scan can only be newer than it. Their changes are read again from the change log later, which is harmless.
    *
-   * @return a snapshot at the revision that was read first
+   * @return a snapshot at the revision read first
    */
   public CompletableFuture<ConfigSnapshot> load() {
     return revision()
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigTables.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigTables.java
@@ -4,7 +4,7 @@
 import io.mothrill.core.resource.ResourceKind;
 import java.util.Locale;
 
-/** Where configuration lies in the platform's table. */
+/** The tables, keys and cells that hold configuration on the platform. */
 final class ConfigTables {
 
   static final String CHANGES = "config-changes";
--- a/mothrill-core/src/main/java/io/mothrill/core/config/error/ConfigException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/error/ConfigException.java
@@ -4,7 +4,7 @@
 import io.mothrill.core.resource.Resource;
 import java.util.Optional;
 
-/** A change of configuration was not accepted, or it is not known whether it was. */
+/** Thrown when a configuration change was not accepted, or when it is unknown whether it was. */
 public final class ConfigException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -13,7 +13,7 @@
   private final transient Optional<Resource> current;
 
   /**
-   * Creates the error.
+   * Creates the exception.
    *
    * @param message what went wrong
    */
@@ -22,10 +22,10 @@
   }
 
   /**
-   * Creates the error.
+   * Creates the exception.
    *
    * @param message what went wrong
-   * @param current the resource as it stands, for the operator to compare
+   * @param current the current resource, for the operator to compare
    */
   public ConfigException(ErrorMessage message, Optional<Resource> current) {
     super(message.text());
@@ -34,7 +34,7 @@
   }
 
   /**
-   * Gives the code that programs may rely on.
+   * Returns the stable error code.
    *
    * @return the code
    */
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Gives the resource that a change collided with.
+   * Returns the resource that the change conflicted with.
    *
-   * @return the resource as it stands
+   * @return the current resource
    */
   public Optional<Resource> current() {
     return current;
--- a/mothrill-core/src/main/java/io/mothrill/core/config/error/PlatformOutage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/error/PlatformOutage.java
@@ -2,13 +2,13 @@
 
 import io.mothrill.core.error.ErrorMessage;
 
-/** The platform did not answer; the same change id may be sent again. */
+/** The platform did not respond; the change may be sent again with the same change id. */
 public record PlatformOutage(String text) implements ErrorMessage {
 
   /**
    * Creates the message.
    *
-   * @param detail the platform layer's own message
+   * @param detail the message of the platform layer
    * @return the message
    */
   public static PlatformOutage platformOutage(String detail) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/error/ResourceNotFound.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/error/ResourceNotFound.java
@@ -2,14 +2,14 @@
 
 import io.mothrill.core.error.ErrorMessage;
 
-/** There is no such resource. */
+/** The requested resource does not exist. */
 public record ResourceNotFound(String text) implements ErrorMessage {
 
   /**
    * Creates the message.
    *
-   * @param kind the kind asked for
-   * @param name the name asked for
+   * @param kind the requested kind
+   * @param name the requested name
    * @return the message
    */
   public static ResourceNotFound resourceNotFound(String kind, String name) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/error/StillInUse.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/error/StillInUse.java
@@ -10,7 +10,7 @@
    * Creates the message.
    *
    * @param name the resource's name
-   * @param dependents what refers to it
+   * @param dependents the resources that refer to it
    * @return the message
    */
   public static StillInUse stillInUse(String name, List<String> dependents) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/error/VersionConflict.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/error/VersionConflict.java
@@ -9,8 +9,8 @@
    * Creates the message.
    *
    * @param name the resource's name
-   * @param expected the resource version that the operator had read
-   * @param actual the resource version as it stands; 0 when there is no such resource
+   * @param expected the resource version that the operator read
+   * @param actual the current resource version; 0 when there is no such resource
    * @return the message
    */
   public static VersionConflict versionConflict(String name, long expected, long actual) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** Configuration: accepting changes once, and spreading them upwards only. */
+/** Configuration: accepts each change once and propagates revisions that never decrease. */
 package io.mothrill.core.config;
--- a/mothrill-core/src/main/java/io/mothrill/core/error/ErrorMessage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/error/ErrorMessage.java
@@ -1,24 +1,24 @@
 package io.mothrill.core.error;
 
 /**
- * What an error says: a stable code for programs and a text for people.
+ * An error message: a stable code for programs and a text for people.
  *
- * <p>Each kind of error has a class of its own with a static factory, for example {@code
+ * <p>Each kind of error has its own class with a static factory, for example {@code
  * BudgetExhausted.budgetExhausted("eu-1", 500)}.
  */
 public interface ErrorMessage {
 
   /**
-   * Gives the code that callers may rely on.
+   * Returns the stable error code.
    *
-   * @return lower case words joined by underscores
+   * @return lower-case words joined by underscores
    */
   String code();
 
   /**
-   * Gives the text for people.
+   * Returns the human-readable text.
    *
-   * @return one sentence that names what was wrong
+   * @return one sentence that states what was wrong
    */
   String text();
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/error/Failures.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/error/Failures.java
@@ -2,16 +2,16 @@
 
 import java.util.concurrent.CompletionException;
 
-/** Helps to read the errors of futures. */
+/** Utilities for the exceptions of futures. */
 public final class Failures {
 
   private Failures() {}
 
   /**
-   * Takes away the wrapper that a future puts around its error.
+   * Removes the {@link CompletionException} that a future wraps around its exception.
    *
-   * @param error the error as a callback received it
-   * @return the error that the future was failed with
+   * @param error the exception as a callback received it
+   * @return the exception that the future was completed with
    */
   public static Throwable unwrap(Throwable error) {
     Throwable inner = error;
--- a/mothrill-core/src/main/java/io/mothrill/core/error/FieldError.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/error/FieldError.java
@@ -1,19 +1,19 @@
 package io.mothrill.core.error;
 
 /**
- * Names one field of an input and why its value was refused.
+ * An invalid input field and the reason why its value was rejected.
  *
  * <pre>{@code
  * FieldError.outOfRange("spec.slots", 1, 10_000, 0).toString(); // spec.slots: must be from 1 ...
  * }</pre>
  *
  * @param path the field's path, such as {@code spec.topUps[2].tokens}
- * @param reason why the value was refused
+ * @param reason why the value was rejected
  */
 public record FieldError(String path, String reason) {
 
   /**
-   * A required field is not there.
+   * Creates the error for a missing required field.
    *
    * @param path the field's path
    * @return the error
@@ -23,7 +23,7 @@
   }
 
   /**
-   * A field is not known.
+   * Creates the error for an unknown field.
    *
    * @param path the field's path
    * @return the error
@@ -33,10 +33,10 @@
   }
 
   /**
-   * A field has a value of another type.
+   * Creates the error for a value of the wrong type.
    *
    * @param path the field's path
-   * @param expected the type that was expected, such as {@code a whole number}
+   * @param expected the expected type, such as {@code a whole number}
    * @return the error
    */
   public static FieldError wrongType(String path, String expected) {
@@ -44,12 +44,12 @@
   }
 
   /**
-   * A number is too small or too large.
+   * Creates the error for a number that is too small or too large.
    *
    * @param path the field's path
-   * @param min the least number allowed
-   * @param max the greatest number allowed
-   * @param actual the number given
+   * @param min the smallest allowed value
+   * @param max the largest allowed value
+   * @param actual the actual value
    * @return the error
    */
   public static FieldError outOfRange(String path, long min, long max, long actual) {
@@ -57,10 +57,10 @@
   }
 
   /**
-   * A value is refused for another reason.
+   * Creates the error for a value that is rejected for another reason.
    *
    * @param path the field's path
-   * @param reason the reason, to be read after the path
+   * @param reason the reason, phrased to follow the path
    * @return the error
    */
   public static FieldError refused(String path, String reason) {
--- a/mothrill-core/src/main/java/io/mothrill/core/error/InvalidInputException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/error/InvalidInputException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** An input was refused as a whole; every wrong field is named. */
+/** Thrown when an input is rejected as a whole; it lists every invalid field. */
 public final class InvalidInputException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -11,9 +11,9 @@
   private final transient List<FieldError> errors;
 
   /**
-   * Creates the error.
+   * Creates the exception.
    *
-   * @param errors the wrong fields, at least one
+   * @param errors the invalid fields, at least one
    */
   public InvalidInputException(List<FieldError> errors) {
     super(errors.stream().map(FieldError::toString).collect(Collectors.joining("; ")));
@@ -21,17 +21,17 @@
   }
 
   /**
-   * Refuses an input for one field.
+   * Creates the exception for a single field.
    *
-   * @param error the wrong field
-   * @return the error
+   * @param error the invalid field
+   * @return the exception
    */
   public static InvalidInputException of(FieldError error) {
     return new InvalidInputException(List.of(error));
   }
 
   /**
-   * Lists the wrong fields.
+   * Returns the invalid fields.
    *
    * @return at least one error
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/error/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/error/package-info.java
@@ -1,2 +1,2 @@
-/** What every layer's errors are made of. */
+/** Building blocks of the errors of all layers. */
 package io.mothrill.core.error;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * An instance list in memory, which forgets an instance that has not announced itself for a while.
+ * An in-memory instance list that drops instances which have not announced themselves recently.
  */
 public final class FakeInstanceList implements InstanceList {
 
@@ -21,8 +21,8 @@
   /**
    * Creates an empty list.
    *
-   * @param timers the time
-   * @param forgetAfterMs how long an instance stays after its last announcement: the list's lag
+   * @param timers the timer service
+   * @param forgetAfterMs how long an instance stays listed after its last announcement, which models the lag of the list
    */
   public FakeInstanceList(Timers timers, long forgetAfterMs) {
     this.timers = timers;
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Gives the switch for this list's faults.
+   * Returns the fault injector of this list.
    *
-   * @return the faults
+   * @return the fault injector
    */
   public FaultInjector faults() {
     return faults;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeObjectStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeObjectStore.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** An object store in memory. */
+/** An in-memory object store. */
 public final class FakeObjectStore implements ObjectStore {
 
   private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
@@ -16,16 +16,16 @@
   /**
    * Creates an empty store.
    *
-   * @param timers the time
+   * @param timers the timer service
    */
   public FakeObjectStore(Timers timers) {
     this.faults = new FaultInjector(timers);
   }
 
   /**
-   * Gives the switch for this store's faults.
+   * Returns the fault injector of this store.
    *
-   * @return the faults
+   * @return the fault injector
    */
   public FaultInjector faults() {
     return faults;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A table service in memory; {@link #faults()} makes it slow, silent or forgetful of answers. */
+/** An in-memory table service; {@link #faults()} injects delays, outages and lost responses. */
 public final class FakeTable implements TableService {
 
   private final TreeMap<String, TreeMap<String, Row>> tables = new TreeMap<>();
@@ -22,33 +22,33 @@
   /**
    * Creates a table service without rows.
    *
-   * @param timers the time
+   * @param timers the timer service
    */
   public FakeTable(Timers timers) {
     this.faults = new FaultInjector(timers);
   }
 
   /**
-   * Gives the switch for this table's faults.
+   * Returns the fault injector of this table.
    *
-   * @return the faults
+   * @return the fault injector
    */
   public FaultInjector faults() {
     return faults;
   }
 
   /**
-   * Gives the same rows through faults of its own, as one instance's way to the table.
+   * Returns a view of the same rows with its own fault injector, such as the connection of one instance.
    *
-   * @param ownFaults the faults of this way
-   * @return a view on this table
+   * @param ownFaults the fault injector of the view
+   * @return a view of this table
    */
   public TableService withFaults(FaultInjector ownFaults) {
     return new FaultyView(ownFaults);
   }
 
   /**
-   * Counts the read and scan calls so far.
+   * Returns the number of read and scan calls.
    *
    * @return calls since the start
    */
@@ -57,7 +57,7 @@
   }
 
   /**
-   * Counts the write calls so far.
+   * Returns the number of write calls.
    *
    * @return calls since the start
    */
@@ -66,7 +66,7 @@
   }
 
   /**
-   * Counts the rows that committed transactions have written.
+   * Returns the number of rows written by committed transactions.
    *
    * @return rows since the start
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/Fault.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/Fault.java
@@ -1,11 +1,11 @@
 package io.mothrill.core.fake;
 
-/** How a fake treats the calls that reach it. */
+/** How a fake handles the calls it receives. */
 public enum Fault {
-  /** Calls are answered. */
+  /** Calls succeed. */
   NONE,
   /** Calls fail and have no effect. */
   DOWN,
-  /** Calls take effect, but their answers are lost. */
+  /** Calls take effect, but their responses are lost. */
   ANSWER_LOST
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Lets calls through to a fake after a delay, or loses them, as the test asks. */
+/** Injects faults into the calls to a fake: outages, lost responses and delays. */
 public final class FaultInjector {
 
   private final Timers timers;
@@ -13,16 +13,16 @@
   private volatile long delayMs;
 
   /**
-   * Creates a way without faults.
+   * Creates an injector without faults.
    *
-   * @param timers the time
+   * @param timers the timer service
    */
   public FaultInjector(Timers timers) {
     this.timers = timers;
   }
 
   /**
-   * Chooses what happens to the calls from now on.
+   * Sets how subsequent calls are handled.
    *
    * @param next the fault
    */
@@ -31,9 +31,9 @@
   }
 
   /**
-   * Makes every answer late from now on.
+   * Delays all subsequent responses.
    *
-   * @param answerDelayMs milliseconds from the effect to the answer
+   * @param answerDelayMs milliseconds between effect and response
    */
   public void setDelayMs(long answerDelayMs) {
     this.delayMs = answerDelayMs;
@@ -42,10 +42,10 @@
   /**
    * Runs one call.
    *
-   * @param name the call's name, for errors
-   * @param effect what the call does
-   * @param <T> the answer's type
-   * @return the answer, or a {@link PlatformException}
+   * @param name the name of the call, for error messages
+   * @param effect performs the call
+   * @param <T> the result type
+   * @return the result, or a {@link PlatformException}
    */
   public <T> CompletableFuture<T> call(String name, Supplier<T> effect) {
     Fault now = fault;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/ManualTimers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/ManualTimers.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 
 /**
- * A timer service whose time moves only when the test says so.
+ * A timer service whose clock is advanced by the test.
  *
  * <pre>{@code
  * ManualTimers timers = new ManualTimers();
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Moves the time forward and runs every task that falls due, in order of its time.
+   * Advances the clock and runs every task that becomes due, ordered by due time.
    *
-   * @param durationMs how far to move
+   * @param durationMs how far to advance
    */
   public void advanceMs(long durationMs) {
     long endMs = nowMs() + durationMs;
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/package-info.java
@@ -1,2 +1,2 @@
-/** In-memory fakes of the ports, which embedders may use in their own tests. */
+/** In-memory fakes of the ports, also for the tests of embedders. */
 package io.mothrill.core.fake;
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/Cells.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/Cells.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /**
- * The named cells of one row: each is a whole number or a text.
+ * The named cells of a row; each holds an integer or a string.
  *
  * <pre>{@code
  * Cells cells = Cells.empty().with("paid", 1_000).with("team", "sira");
@@ -24,53 +24,53 @@
   }
 
   /**
-   * Gives cells with nothing in them.
+   * Returns an empty set of cells.
    *
-   * @return the empty cells
+   * @return no cells
    */
   public static Cells empty() {
     return EMPTY;
   }
 
   /**
-   * Begins cells that get many values; each {@code with} of the cells themselves copies them all.
+   * Creates a builder for many cells; {@link #with(String, long)} copies all cells on each call.
    *
-   * @return a builder without cells
+   * @return an empty builder
    */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects cells one by one. */
+  /** Collects cells without copying them on each addition. */
   public static final class Builder {
     private final Map<String, Object> values = new TreeMap<>();
 
     private Builder() {}
 
     /**
-     * Adds or replaces a number.
+     * Adds or replaces an integer.
      *
      * @param name the cell's name
-     * @param value the number
+     * @param value the integer
      */
     public void add(String name, long value) {
       values.put(name, value);
     }
 
     /**
-     * Adds or replaces a text.
+     * Adds or replaces a string.
      *
      * @param name the cell's name
-     * @param value the text
+     * @param value the string
      */
     public void add(String name, String value) {
       values.put(name, value);
     }
 
     /**
-     * Ends the collection.
+     * Builds the cells.
      *
-     * @return the cells so far
+     * @return the collected cells
      */
     public Cells build() {
       return new Cells(new TreeMap<>(values));
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Adds or replaces a number.
+   * Adds or replaces an integer.
    *
    * @param name the cell's name
-   * @param value the number
+   * @param value the integer
    * @return a copy with the cell
    */
   public Cells with(String name, long value) {
@@ -89,10 +89,10 @@
   }
 
   /**
-   * Adds or replaces a text.
+   * Adds or replaces a string.
    *
    * @param name the cell's name
-   * @param value the text
+   * @param value the string
    * @return a copy with the cell
    */
   public Cells with(String name, String value) {
@@ -100,37 +100,37 @@
   }
 
   /**
-   * Reads a number.
+   * Returns an integer.
    *
    * @param name the cell's name
-   * @return the number, 0 when the cell is absent or a text
+   * @return the integer; 0 when the cell is absent or a string
    */
   public long number(String name) {
     return values.get(name) instanceof Long number ? number : 0;
   }
 
   /**
-   * Reads a text.
+   * Returns a string.
    *
    * @param name the cell's name
-   * @return the text, empty when the cell is absent or a number
+   * @return the string; empty when the cell is absent or an integer
    */
   public String text(String name) {
     return values.get(name) instanceof String text ? text : "";
   }
 
   /**
-   * Looks whether a cell is there.
+   * Finds a cell.
    *
    * @param name the cell's name
-   * @return the cell's value, a {@code Long} or a {@code String}
+   * @return the value of the cell, a {@code Long} or a {@code String}, or empty
    */
   public Optional<Object> find(String name) {
     return Optional.ofNullable(values.get(name));
   }
 
   /**
-   * Shows all cells, for codecs.
+   * Returns all cells, for codecs.
    *
    * @return an unmodifiable map by name; each value is a {@code Long} or a {@code String}
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/InstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/InstanceList.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's list of live and leaving instances; it lags behind the truth. */
+/** The platform's list of live and leaving instances; it is eventually consistent. */
 public interface InstanceList {
 
   /**
-   * Announces an instance, or changes what is known of it.
+   * Registers an instance, or updates its record.
    *
-   * @param instance the instance as it describes itself
-   * @return completes when the list has taken it
+   * @param instance the current record of the instance
+   * @return completes when the list has accepted it
    */
   CompletableFuture<Void> announce(InstanceRecord instance);
 
   /**
-   * Reads the list.
+   * Returns the list.
    *
    * @return the instances known to the platform
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/InstanceRecord.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/InstanceRecord.java
@@ -1,12 +1,12 @@
 package io.mothrill.core.platform;
 
 /**
- * One instance as the instance list shows it.
+ * An entry of the instance list.
  *
- * @param id the instance's name, which a replacement may take over
- * @param incarnation differs for every start of a process
+ * @param id the name of the instance, which a replacement may take over
+ * @param incarnation unique for every process start
  * @param domain the failure domain
- * @param host the address for peers
+ * @param host the IP address for peers
  * @param peerPort the TCP port for peers
  * @param leaving true once the instance has begun to drain
  */
@@ -14,9 +14,9 @@
     String id, String incarnation, String domain, String host, int peerPort, boolean leaving) {
 
   /**
-   * Marks the instance as leaving.
+   * Returns a copy marked as leaving.
    *
-   * @return a copy that is leaving
+   * @return the copy
    */
   public InstanceRecord asLeaving() {
     return new InstanceRecord(id, incarnation, domain, host, peerPort, true);
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/ObjectStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/ObjectStore.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's object store: whole objects by name, replaced at once. */
+/** The platform's object store; an object is replaced atomically. */
 public interface ObjectStore {
 
   /**
-   * Stores an object in place of an earlier one.
+   * Stores an object, replacing an earlier one.
    *
    * @param name the object's name
    * @param content its bytes
@@ -16,7 +16,7 @@
   CompletableFuture<Void> put(String name, byte[] content);
 
   /**
-   * Fetches an object.
+   * Returns an object.
    *
    * @param name the object's name
    * @return its bytes, or empty when there is none
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/Row.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/Row.java
@@ -1,18 +1,18 @@
 package io.mothrill.core.platform;
 
 /**
- * One row as it was read.
+ * A row as it was read.
  *
- * @param key the row's address
- * @param version counts the row's changes; 0 means that the row does not exist
- * @param cells the row's cells, empty when the row does not exist
+ * @param key the key of the row
+ * @param version the number of changes to the row; 0 when the row does not exist
+ * @param cells the cells; empty when the row does not exist
  */
 public record Row(RowKey key, long version, Cells cells) {
 
   /**
-   * Describes a row that does not exist.
+   * Returns the representation of a row that does not exist.
    *
-   * @param key the row's address
+   * @param key the key of the row
    * @return a row with version 0 and no cells
    */
   public static Row absent(RowKey key) {
@@ -20,9 +20,9 @@
   }
 
   /**
-   * Says whether the row exists.
+   * Checks whether the row exists.
    *
-   * @return true when the row was found
+   * @return true when the row exists
    */
   public boolean exists() {
     return version > 0;
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
@@ -1,27 +1,24 @@
 package io.mothrill.core.platform;
 
 /**
- * The steady clock of the platform's store, as known from its answers.
+ * An estimate of the monotonic clock of the platform's store, derived from its responses.
  *
- * <p>The true clock is never behind what this one says: an answer shows a time that is past when it
- * arrives, and from then on this instance's own steady clock is added, which stands still while the
- * instance is suspended.
+ * <p>The estimate is never ahead of the store's clock: a response carries a time that has passed by the time it arrives, and afterwards only this instance's monotonic clock is added, which does not advance while the instance is suspended.
  */
 public interface StoreClock {
 
   /**
-   * Reads the clock.
+   * Returns a lower bound of the store's clock.
    *
-   * @return milliseconds by the store's clock, the true ones or fewer
+   * @return milliseconds on the store's clock, never more than the actual time
    */
   long nowMs();
 
   /**
-   * Says what the clock can have shown at the most at an earlier moment, before the store's first
-   * answer to this process.
+   * Returns an upper bound of the store's clock at a moment before the store's first response to this process.
    *
-   * @param steadyMs the moment, by this instance's steady clock
-   * @return milliseconds by the store's clock, the true ones or more
+   * @param steadyMs the moment, on this instance's monotonic clock
+   * @return milliseconds on the store's clock, never less than the actual time
    */
   long upperBoundMs(long steadyMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/TableService.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/TableService.java
@@ -4,38 +4,36 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's transactional table service, as far as mothrill needs it.
+ * The subset of the platform's transactional table service that mothrill uses.
  *
- * <p>Every future may fail with {@link io.mothrill.core.platform.error.PlatformException}. A failed
- * write may still take effect, even after a later read, unless the error says otherwise; each
- * caller therefore writes on the condition of the version it read.
+ * <p>Every future may fail with {@link io.mothrill.core.platform.error.PlatformException}. A failed write may still take effect, even after a later read, unless the exception rules it out. Callers therefore make each write conditional on the version they read.
  */
 public interface TableService {
 
   /**
-   * Reads rows in one call.
+   * Reads several rows in one call.
    *
-   * @param keys the rows' addresses
-   * @return one row per key in the same order, with version 0 for each that does not exist
+   * @param keys the keys of the rows
+   * @return one row per key, in the same order; a row that does not exist has version 0
    */
   CompletableFuture<List<Row>> read(List<RowKey> keys);
 
   /**
-   * Reads a run of rows in key order.
+   * Reads consecutive rows in key order.
    *
    * @param table the table
-   * @param prefix what each key starts with
+   * @param prefix the common prefix of the keys
    * @param afterKey only keys greater than this; empty for all
-   * @param limit at most this many rows
+   * @param limit the maximum number of rows
    * @return the rows found
    */
   CompletableFuture<List<Row>> scan(String table, String prefix, String afterKey, int limit);
 
   /**
-   * Writes all changes of a transaction, or none of them.
+   * Applies a transaction atomically.
    *
    * @param transaction the changes and their conditions
-   * @return true when written, false when a row no longer had the expected version
+   * @return true when applied, false when a row did not have the expected version
    */
   CompletableFuture<Boolean> write(Transaction transaction);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/Transaction.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/Transaction.java
@@ -5,28 +5,28 @@
 import java.util.Optional;
 
 /**
- * A set of row changes that take effect together, or not at all.
+ * A set of row changes that are applied atomically.
  *
  * <pre>{@code
  * Transaction.on(row, newCells)   // only if the row still has the version that was read
  *     .and(otherRow, otherCells);
  * }</pre>
  *
- * @param writes the changes, each with the version that its row must still have
- * @param checks conditions on rows that stay as they are
+ * @param writes the changes, each with the version that its row must have
+ * @param checks conditions on rows that are not changed
  */
 public record Transaction(List<Write> writes, List<Check> checks) {
 
-  /** Takes a copy of the changes. */
+  /** Copies the lists. */
   public Transaction {
     writes = List.copyOf(writes);
     checks = List.copyOf(checks);
   }
 
   /**
-   * One change of one row.
+   * A change to one row.
    *
-   * @param key the row's address
+   * @param key the key of the row
    * @param expectedVersion the version that the row must have; 0 when it must not exist
    * @param cells the new cells; empty to delete the row
    */
@@ -35,7 +35,7 @@
   /**
    * A condition on a row that is not changed.
    *
-   * @param key the row's address
+   * @param key the key of the row
    * @param expectedVersion the version that the row must have; 0 when it must not exist
    */
   public record Check(RowKey key, long expectedVersion) {}
@@ -43,7 +43,7 @@
   /**
    * Starts a transaction with one change.
    *
-   * @param read the row as it was read
+   * @param read the row that was read
    * @param cells its new cells
    * @return the transaction
    */
@@ -54,9 +54,9 @@
   /**
    * Adds a change.
    *
-   * @param read the row as it was read
+   * @param read the row that was read
    * @param cells its new cells
-   * @return a copy with the change
+   * @return a copy that includes the change
    */
   public Transaction and(Row read, Cells cells) {
     return plus(new Write(read.key(), read.version(), Optional.of(cells)));
@@ -65,8 +65,8 @@
   /**
    * Adds a condition on a row that is not changed.
    *
-   * @param read the row as it was read
-   * @return a copy that takes effect only while the row is as it was read
+   * @param read the row that was read
+   * @return a copy that is applied only if the row still has the version that was read
    */
   public Transaction requiring(Row read) {
     List<Check> extended = new ArrayList<>(checks);
@@ -77,8 +77,8 @@
   /**
    * Adds a deletion.
    *
-   * @param read the row as it was read
-   * @return a copy with the deletion
+   * @param read the row that was read
+   * @return a copy that includes the deletion
    */
   public Transaction andDelete(Row read) {
     return plus(new Write(read.key(), read.version(), Optional.empty()));
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
@@ -3,10 +3,9 @@
 import io.mothrill.core.time.Timers;
 
 /**
- * Stands in for the clock of a store that does not tell its time: the wall clock of this instance.
+ * Uses this instance's wall clock for a store that does not report its time.
  *
- * <p>It is only good for times that may be wrong by what wall clocks differ, such as the minutes
- * for which a request is refused; nothing that guards a budget may go by it.
+ * <p>It is suitable only where the skew between wall clocks is tolerable, such as for the minutes during which a request is refused. Budget limits must not depend on it.
  */
 public final class WallClockStoreClock implements StoreClock {
 
@@ -15,7 +14,7 @@
   /**
    * Creates the clock.
    *
-   * @param timers the time
+   * @param timers the timer service
    */
   public WallClockStoreClock(Timers timers) {
     this.timers = timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.platform.error;
 
-/** A call to the platform failed; whether its effect took place is said by {@link #outcome()}. */
+/** Thrown when a call to the platform failed; {@link #outcome()} tells whether it may have taken effect. */
 public final class PlatformException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -12,38 +12,38 @@
     this.outcome = outcome;
   }
 
-  /** What is known about the effect of a failed call. */
+  /** The effect of a failed call, as far as it is known. */
   public enum Outcome {
     /** The call had no effect. */
     NOT_APPLIED,
-    /** The answer was lost: the effect may have taken place, or may still do so. */
+    /** The response was lost: the call may have taken effect, or may still do so. */
     UNKNOWN
   }
 
   /**
-   * The platform could not be reached, so the call surely had no effect.
+   * Creates the exception for an unreachable platform; the call had no effect.
    *
-   * @param detail what was being called, for the log
-   * @return the error
+   * @param detail the failed call, for the log
+   * @return the exception
    */
   public static PlatformException unreachable(String detail) {
     return new PlatformException("platform not reachable: " + detail, Outcome.NOT_APPLIED);
   }
 
   /**
-   * The call was sent, but no answer came.
+   * Creates the exception for a call that was sent but got no response.
    *
-   * @param detail what was being called, for the log
-   * @return the error
+   * @param detail the failed call, for the log
+   * @return the exception
    */
   public static PlatformException answerLost(String detail) {
     return new PlatformException("no answer from the platform: " + detail, Outcome.UNKNOWN);
   }
 
   /**
-   * Says whether the effect may have taken place.
+   * Returns what is known about the effect of the call.
    *
-   * @return what is known about the effect
+   * @return the outcome
    */
   public Outcome outcome() {
     return outcome;
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/BudgetSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/BudgetSpec.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * Prepaid tokens of one team.
+ * The prepaid tokens of a team.
  *
  * @param team the team's name
- * @param services the services that may draw on it; empty for all
- * @param topUps payments, each added once by its id; one that is left out later stays added
+ * @param services the services that may use it; empty for all
+ * @param topUps the payments, each credited once by its id; removing one later does not revoke it
  */
 public record BudgetSpec(String team, List<String> services, List<TopUp> topUps) implements Spec {
 
-  /** Takes copies of the lists. */
+  /** Copies the lists. */
   public BudgetSpec {
     services = List.copyOf(services);
     topUps = List.copyOf(topUps);
   }
 
   /**
-   * Says whether a service may draw on this budget.
+   * Checks whether a service may use this budget.
    *
    * @param service the service's name
    * @return true when it may
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/EvacuationSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/EvacuationSpec.java
@@ -1,8 +1,7 @@
 package io.mothrill.core.resource;
 
 /**
- * Empties a failure domain, which the resource is named after: as long as it is declared, the
- * upstreams there get nothing new.
+ * Evacuates the failure domain that the resource is named after: while it is declared, upstreams in the domain get no new requests.
  */
 public record EvacuationSpec() implements Spec {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/Priority.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/Priority.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.resource;
 
-/** The two classes of calls. */
+/** The priority class of a call. */
 public enum Priority {
-  /** Someone waits for the answer. */
+  /** Interactive: a user waits for the response. */
   URGENT,
-  /** May wait, but must complete. */
+  /** May be delayed, but must complete. */
   BATCH
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/Resource.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/Resource.java
@@ -1,16 +1,16 @@
 package io.mothrill.core.resource;
 
 /**
- * A declared resource as it was accepted.
+ * An accepted resource.
  *
  * @param name unique among resources of its kind
- * @param revision the configuration revision of its last change, which is its resource version
- * @param spec what was declared
+ * @param revision the configuration revision of its last change, which serves as its resource version
+ * @param spec the declared spec
  */
 public record Resource(String name, long revision, Spec spec) {
 
   /**
-   * Says of which kind this is.
+   * Returns the kind of the resource.
    *
    * @return the kind
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/ResourceCodec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/ResourceCodec.java
@@ -1,20 +1,20 @@
 package io.mothrill.core.resource;
 
-/** Writes resources as text for the platform's table and reads them back. */
+/** Serializes resources to text for the platform's table, and parses them. */
 public interface ResourceCodec {
 
   /**
-   * Writes a resource.
+   * Serializes a resource.
    *
    * @param resource the resource
-   * @return its text
+   * @return the serialized form
    */
   String encode(Resource resource);
 
   /**
-   * Reads a resource.
+   * Parses a resource.
    *
-   * @param text what {@link #encode} wrote
+   * @param text the output of {@link #encode}
    * @return the resource
    * @throws io.mothrill.core.error.InvalidInputException when the text is not a valid resource
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/ResourceKind.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/ResourceKind.java
@@ -6,15 +6,15 @@
 
 /** The kinds of resources that operators declare. */
 public enum ResourceKind {
-  /** A customer with keys of its own. */
+  /** A customer with its own API keys. */
   TEAM("Team"),
-  /** Prepaid tokens of one team. */
+  /** The prepaid tokens of a team. */
   BUDGET("Budget"),
-  /** A model or a plain service that callers may name. */
+  /** A model or plain service that callers can request. */
   SERVICE("Service"),
   /** A back end that serves one service. */
   UPSTREAM("Upstream"),
-  /** A failure domain whose upstreams get nothing new. */
+  /** A failure domain whose upstreams get no new requests. */
   EVACUATION("Evacuation");
 
   private final String title;
@@ -24,16 +24,16 @@
   }
 
   /**
-   * Gives the name as it stands in the field {@code kind}.
+   * Returns the name used in the {@code kind} field.
    *
-   * @return for example {@code Team}
+   * @return the name, for example {@code Team}
    */
   public String title() {
     return title;
   }
 
   /**
-   * Finds a kind by any customary spelling.
+   * Finds a kind by name, singular or plural, ignoring case.
    *
    * @param word for example {@code Team}, {@code team} or {@code teams}
    * @return the kind, or empty when there is none
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Gives the name as it stands in addresses.
+   * Returns the name used in URL paths.
    *
-   * @return for example {@code teams}
+   * @return the name, for example {@code teams}
    */
   public String plural() {
     return singular() + "s";
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/ServiceSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/ServiceSpec.java
@@ -1,14 +1,14 @@
 package io.mothrill.core.resource;
 
 /**
- * A model or plain service that callers may name.
+ * A model or plain service that callers can request.
  *
- * @param type what stands behind it
- * @param priority the class of calls that name none themselves
- * @param repeatable false when no call may ever run twice
- * @param maxOutputTokens the output cap of calls that name none, and the most that one may name
- * @param tokensPerCall what one call to a plain service costs
- * @param timeoutMs how long one call may take in all
+ * @param type the type of its upstreams
+ * @param priority the priority of calls that do not specify one
+ * @param repeatable false when a call must not run more than once
+ * @param maxOutputTokens the default and maximum output cap of a call
+ * @param tokensPerCall the tokens charged for a call to a plain service
+ * @param timeoutMs the total time limit of a call
  */
 public record ServiceSpec(
     ServiceType type,
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/ServiceType.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/ServiceType.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.resource;
 
-/** What stands behind a service. */
+/** The type of a service's upstreams. */
 public enum ServiceType {
   /** Model engines, billed by the tokens they report. */
   MODEL,
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/Spec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/Spec.java
@@ -1,11 +1,11 @@
 package io.mothrill.core.resource;
 
-/** What an operator declares of a resource. */
+/** The declared content of a resource. */
 public sealed interface Spec
     permits TeamSpec, BudgetSpec, ServiceSpec, UpstreamSpec, EvacuationSpec {
 
   /**
-   * Says which kind this declares.
+   * Returns the kind of resource that this spec declares.
    *
    * @return the kind
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/TeamKey.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/TeamKey.java
@@ -6,10 +6,10 @@
 import java.util.HexFormat;
 
 /**
- * A team's key as it is kept: a salt and a hash, never the key itself.
+ * The stored form of a team's key: a salt and a hash, never the key itself.
  *
- * @param salt random text, hashed before the key's secret
- * @param sha256 hash of salt and secret, in hexadecimal
+ * @param salt random text that is hashed before the secret
+ * @param sha256 the hash of salt and secret, in hexadecimal
  */
 public record TeamKey(String salt, String sha256) {
 
@@ -18,17 +18,17 @@
    *
    * @param salt random text
    * @param secret the secret part of the key
-   * @return what may be kept
+   * @return the form to store
    */
   public static TeamKey hash(String salt, String secret) {
     return new TeamKey(salt, HexFormat.of().formatHex(digest(salt, secret)));
   }
 
   /**
-   * Compares a secret with this key, in a time that does not depend on where they differ.
+   * Checks a secret against this key in constant time.
    *
    * @param secret the secret that a caller sent
-   * @return true when it is the one that was hashed
+   * @return true when the secret matches
    */
   public boolean matches(String secret) {
     byte[] expected = sha256.getBytes(StandardCharsets.US_ASCII);
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/TeamSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/TeamSpec.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A team.
+ * A customer.
  *
- * @param keys the keys that its callers may use
+ * @param keys the keys accepted from its callers
  * @param weight its share of contended capacity, relative to other teams; at least 1
  */
 public record TeamSpec(List<TeamKey> keys, int weight) implements Spec {
 
-  /** Takes a copy of the keys. */
+  /** Copies the keys. */
   public TeamSpec {
     keys = List.copyOf(keys);
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/TopUp.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/TopUp.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.resource;
 
 /**
- * One payment into a budget.
+ * A payment into a budget.
  *
- * @param id names the payment; a payment with a known id is not added again
- * @param tokens how many tokens were paid for
+ * @param id the id of the payment; a payment with a known id is not credited again
+ * @param tokens the number of tokens paid for
  */
 public record TopUp(String id, long tokens) {}
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/UpstreamSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/UpstreamSpec.java
@@ -1,14 +1,14 @@
 package io.mothrill.core.resource;
 
 /**
- * A back end of one service.
+ * A back end of a service.
  *
  * @param service the service's name
  * @param host an IP address
  * @param port a TCP port
- * @param domain the failure domain that it stands in
- * @param slots how many calls it serves at once
- * @param leaving true when it must get nothing new
+ * @param domain the failure domain it runs in
+ * @param slots the number of calls it serves concurrently
+ * @param leaving true when it must get no new requests
  */
 public record UpstreamSpec(
     String service, String host, int port, String domain, int slots, boolean leaving)
--- a/mothrill-core/src/main/java/io/mothrill/core/time/Subscription.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/time/Subscription.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.time;
 
-/** A handle on something registered earlier, such as a timer or a listener. */
+/** A handle that cancels a registration, such as a timer or a listener. */
 @FunctionalInterface
 public interface Subscription {
 
-  /** Ends the registration; calling it again has no effect. */
+  /** Cancels the registration; further calls have no effect. */
   void cancel();
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/time/Timers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/time/Timers.java
@@ -1,9 +1,9 @@
 package io.mothrill.core.time;
 
 /**
- * The timer service that parts subscribe to.
+ * The source of time and scheduler of the library.
  *
- * <p>Parts of the library never read a clock themselves, so that a test can own the time:
+ * <p>The library never reads a system clock directly, so tests can control the time:
  *
  * <pre>{@code
  * Subscription heartbeat = timers.every(1_000, this::sendHeartbeat);
@@ -13,14 +13,14 @@
 public interface Timers {
 
   /**
-   * Reads the monotonic clock, which leases and timeouts are measured with.
+   * Returns the monotonic time, which is used for leases and timeouts.
    *
-   * @return milliseconds since an arbitrary origin; never goes back
+   * @return milliseconds since an arbitrary origin; never decreases
    */
   long nowMs();
 
   /**
-   * Reads the wall clock, which is only for values that are kept in the platform's table.
+   * Returns the wall-clock time, which is used only for values stored in the platform's table.
    *
    * @return milliseconds since the epoch
    */
@@ -29,18 +29,18 @@
   /**
    * Runs a task once.
    *
-   * @param delayMs milliseconds from now, 0 for as soon as possible
-   * @param task what to run; must not block
-   * @return a handle that cancels the task while it has not run
+   * @param delayMs the delay in milliseconds; 0 for as soon as possible
+   * @param task the task; must not block
+   * @return a handle that cancels the task if it has not run yet
    */
   Subscription after(long delayMs, Runnable task);
 
   /**
-   * Runs a task again and again, the first time after one period.
+   * Runs a task periodically, the first time after one period.
    *
-   * @param periodMs milliseconds between two runs, at least 1
-   * @param task what to run; must not block
-   * @return a handle that stops the repetition
+   * @param periodMs the period in milliseconds, at least 1
+   * @param task the task; must not block
+   * @return a handle that cancels the task
    */
   Subscription every(long periodMs, Runnable task);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/time/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/time/package-info.java
@@ -1,2 +1,2 @@
-/** The timer service: the only source of time for every part of the library. */
+/** The timer service, the library's only source of time. */
 package io.mothrill.core.time;
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/CallBody.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/CallBody.java
@@ -1,13 +1,13 @@
 package io.mothrill.core.upstream;
 
-/** The body of a call, which the output cap is written into. */
+/** The body of a call, into which the output cap is inserted. */
 public interface CallBody {
 
   /**
-   * Makes the body that is sent upstream.
+   * Returns the body to send to the upstream.
    *
-   * @param maxOutputTokens the output cap that the upstream must keep
-   * @return the bytes; not to be changed
+   * @param maxOutputTokens the output cap that the upstream must respect
+   * @return the bytes; must not be modified
    */
   byte[] forUpstream(long maxOutputTokens);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamClient.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamClient.java
@@ -7,8 +7,8 @@
    * Sends a call.
    *
    * @param call the call
-   * @param listener gets the answer, piece by piece and in order
-   * @return the call under way
+   * @param listener receives the response incrementally and in order
+   * @return the call in progress
    */
   UpstreamExchange send(UpstreamCall call, UpstreamListener listener);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamExchange.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamExchange.java
@@ -1,15 +1,15 @@
 package io.mothrill.core.upstream;
 
-/** A call that is under way at an upstream. */
+/** A call in progress at an upstream. */
 public interface UpstreamExchange {
 
-  /** Gives the call up; its connection is closed and nothing more is reported. */
+  /** Aborts the call; its connection is closed and the listener is not called again. */
   void cancel();
 
   /**
-   * Stops or continues reading the answer, so that a slow caller does not fill the memory.
+   * Pauses or resumes reading the response, so that a slow caller does not exhaust memory.
    *
-   * @param reading false to stop
+   * @param reading false to pause
    */
   void setReading(boolean reading);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
@@ -3,40 +3,40 @@
 import java.util.OptionalLong;
 
 /**
- * Why an answer did not come.
+ * Why a call got no complete response.
  *
- * @param kind what is known about the run
+ * @param kind whether the call may have run
  * @param detail what happened, for the log
- * @param retryAfterMs how long the upstream wants no calls of this instance, if it asks for that
+ * @param retryAfterMs how long this instance must send the upstream no calls, if the upstream asked for that
  */
 public record UpstreamFailure(Kind kind, String detail, OptionalLong retryAfterMs) {
 
   /**
-   * Creates a failure after which the upstream asks for no rest.
+   * Creates a failure of an upstream that did not ask for a pause.
    *
-   * @param kind what is known about the run
+   * @param kind whether the call may have run
    * @param detail what happened, for the log
    */
   public UpstreamFailure(Kind kind, String detail) {
     this(kind, detail, OptionalLong.empty());
   }
 
-  /** What is known about a run that failed. */
+  /** Whether a failed call may have run. */
   public enum Kind {
-    /** No byte of the call was written, so it surely did not run. */
+    /** No byte of the call was written, so it did not run. */
     NOT_SENT,
-    /** The upstream answered that it refused the call and did not run it. */
+    /** The upstream refused the call and did not run it. */
     REFUSED,
-    /** The upstream answered that it is leaving and did not run the call. */
+    /** The upstream is leaving and did not run the call. */
     LEAVING,
-    /** The connection broke or fell silent: the call may have run. */
+    /** The connection broke or timed out: the call may have run. */
     BROKEN
   }
 
   /**
-   * Says whether the call surely did not run.
+   * Checks whether the call certainly did not run.
    *
-   * @return true when sending it again cannot run it twice
+   * @return true when it can be sent again without running twice
    */
   public boolean isNotRun() {
     return kind != Kind.BROKEN;
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamListener.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamListener.java
@@ -2,11 +2,11 @@
 
 import io.mothrill.core.routing.LoadReport;
 
-/** Gets the answer to one call; after an end or a failure nothing more comes. */
+/** Receives the response to one call; nothing follows {@link #onEnd()} or {@link #onFailure}. */
 public interface UpstreamListener {
 
   /**
-   * The answer begins.
+   * Called when the response starts.
    *
    * @param status the HTTP status
    * @param contentType the media type of the body
@@ -14,30 +14,30 @@
   void onHead(int status, String contentType);
 
   /**
-   * A part of the answer came.
+   * Called for each part of the response body.
    *
-   * @param bytes the part; not to be changed
-   * @param usage what the whole answer has used so far, as far as the upstream tells
+   * @param bytes the part; must not be modified
+   * @param usage the usage of the response so far, as reported by the upstream
    */
   void onChunk(byte[] bytes, Usage usage);
 
-  /** The answer is whole. */
+  /** Called when the response is complete. */
   void onEnd();
 
   /**
-   * The answer will not come, or will not become whole.
+   * Called when the response is missing or incomplete.
    *
-   * @param failure what is known about it
+   * @param failure the failure
    */
   void onFailure(UpstreamFailure failure);
 
   /**
-   * The upstream told its load beside an answer.
+   * Called when the upstream reports its load with a response.
    *
    * @param report the load
    */
   void onLoad(LoadReport report);
 
-  /** The upstream said beside an answer that it must get nothing new. */
+  /** Called when the upstream states with a response that it must get no new requests. */
   void onLeaving();
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/Usage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/Usage.java
@@ -1,20 +1,20 @@
 package io.mothrill.core.upstream;
 
 /**
- * Tokens that an upstream has used for one call.
+ * The tokens that an upstream used for a call.
  *
- * @param promptTokens tokens of the prompt
- * @param outputTokens tokens of the answer so far
+ * @param promptTokens the tokens of the prompt
+ * @param outputTokens the tokens of the response so far
  */
 public record Usage(long promptTokens, long outputTokens) {
 
-  /** Nothing used. */
+  /** No tokens used. */
   public static final Usage NONE = new Usage(0, 0);
 
   /**
-   * Adds up both parts.
+   * Returns the sum of prompt and output tokens.
    *
-   * @return tokens
+   * @return the tokens
    */
   public long totalTokens() {
     return promptTokens + outputTokens;
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Port to the back ends: model engines and plain services. */
+/** The port to upstreams: model engines and plain services. */
 package io.mothrill.core.upstream;
--- a/mothrill-core/src/main/java/io/mothrill/core/work/MeteredTimers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/MeteredTimers.java
@@ -4,7 +4,7 @@
 import io.mothrill.core.time.Timers;
 import java.util.function.LongSupplier;
 
-/** A timer service whose tasks are counted. */
+/** A timer service that measures its tasks. */
 public final class MeteredTimers implements Timers {
 
   private final Timers timers;
@@ -15,8 +15,8 @@
    * Creates the service.
    *
    * @param timers runs the tasks
-   * @param work gets the time that they take
-   * @param nanos a steady clock in nanoseconds
+   * @param work records the time the tasks take
+   * @param nanos a monotonic clock in nanoseconds
    */
   public MeteredTimers(Timers timers, WorkStats work, LongSupplier nanos) {
     this.timers = timers;
--- a/mothrill-core/src/main/java/io/mothrill/core/work/WorkKind.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/WorkKind.java
@@ -1,17 +1,17 @@
 package io.mothrill.core.work;
 
-/** What an event loop was woken up for. */
+/** The kind of work that an event loop processes. */
 public enum WorkKind {
-  /** Bytes of callers: requests. */
+  /** Requests from callers. */
   CALLER,
-  /** Bytes of upstreams: answers and events of streams. */
+  /** Responses and stream events from upstreams. */
   UPSTREAM,
-  /** Answers of the platform's store. */
+  /** Responses of the platform's store. */
   STORE,
-  /** Questions and answers of other instances. */
+  /** Requests and replies of other instances. */
   PEER,
-  /** Datagrams about prompts that other instances have sent. */
+  /** Notice datagrams between instances. */
   NOTICE,
-  /** Tasks of the timer service. */
+  /** Timer tasks. */
   TIMER
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/work/WorkStats.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/WorkStats.java
@@ -7,21 +7,20 @@
 import java.util.stream.Collectors;
 
 /**
- * Counts what the event loops are woken up for, and for how long; any thread may use it.
+ * Thread-safe statistics of what the event loops spend their time on.
  *
  * <pre>{@code
  * work.onTurn(WorkKind.STORE, 120_000);
- * long turns = work.of(WorkKind.STORE).turnCount();
+ * long turns = work.totals(WorkKind.STORE).turnCount();
  * }</pre>
  *
- * <p>An instance of a large fleet serves few requests, so most of its processor time goes to what
- * it does without them. Only figures of each kind side by side show what that is.
+ * <p>An instance of a large fleet serves few requests, so most of its CPU time goes to background work. Comparing the figures of all kinds shows which work that is.
  */
 public final class WorkStats {
 
   private final Map<WorkKind, Counters> counters = new EnumMap<>(WorkKind.class);
 
-  /** Creates an account with nothing in it. */
+  /** Creates empty statistics. */
   public WorkStats() {
     Arrays.stream(WorkKind.values()).forEach(kind -> counters.put(kind, new Counters()));
   }
@@ -35,22 +34,22 @@
   }
 
   /**
-   * The work of one kind since the start.
+   * The totals of one kind of work since the start.
    *
-   * @param turnCount how often an event loop was busy with it
-   * @param busyNanos for how long, in nanoseconds of the steady clock
-   * @param openedCount connections that were opened, either way
-   * @param receivedBytes bytes that came
-   * @param sentBytes bytes that were sent
+   * @param turnCount how often an event loop processed it
+   * @param busyNanos the processing time, in nanoseconds of the monotonic clock
+   * @param openedCount the opened connections, inbound and outbound
+   * @param receivedBytes the received bytes
+   * @param sentBytes the sent bytes
    */
   public record Totals(
       long turnCount, long busyNanos, long openedCount, long receivedBytes, long sentBytes) {}
 
   /**
-   * Counts one turn of an event loop.
+   * Records one run of an event loop.
    *
-   * @param kind what it was for
-   * @param busyNanos how long it took
+   * @param kind the kind of work
+   * @param busyNanos the processing time
    */
   public void onTurn(WorkKind kind, long busyNanos) {
     Counters counter = counters.get(kind);
@@ -59,39 +58,39 @@
   }
 
   /**
-   * Counts a connection.
+   * Records an opened connection.
    *
-   * @param kind what it is for
+   * @param kind the kind of work
    */
   public void onOpened(WorkKind kind) {
     counters.get(kind).openedCount.increment();
   }
 
   /**
-   * Counts bytes that came.
+   * Records received bytes.
    *
-   * @param kind what they are for
-   * @param bytes how many
+   * @param kind the kind of work
+   * @param bytes the number of bytes
    */
   public void onReceived(WorkKind kind, long bytes) {
     counters.get(kind).receivedBytes.add(bytes);
   }
 
   /**
-   * Counts bytes that are sent.
+   * Records sent bytes.
    *
-   * @param kind what they are for
-   * @param bytes how many
+   * @param kind the kind of work
+   * @param bytes the number of bytes
    */
   public void onSent(WorkKind kind, long bytes) {
     counters.get(kind).sentBytes.add(bytes);
   }
 
   /**
-   * Gives the work of one kind.
+   * Returns the totals of one kind.
    *
    * @param kind the kind
-   * @return the sums since the start
+   * @return the totals since the start
    */
   public Totals totals(WorkKind kind) {
     Counters counter = counters.get(kind);
@@ -104,9 +103,9 @@
   }
 
   /**
-   * Gives the work of all kinds.
+   * Returns the totals of all kinds.
    *
-   * @return an entry for each kind, in their order
+   * @return the totals by kind, in declaration order
    */
   public Map<WorkKind, Totals> all() {
     return counters.keySet().stream()
--- a/mothrill-core/src/main/java/io/mothrill/core/work/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/package-info.java
@@ -1,2 +1,2 @@
-/** What an instance's event loops spend their time on. */
+/** Statistics of what an instance's event loops spend their time on. */
 package io.mothrill.core.work;
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
@@ -18,7 +18,8 @@
         revision, ResourceKind.TEAM, "branch", Optional.of(resource), "c" + revision, "op", 0);
   }
 
-  // A peer that was cut off for long sends old changes. What is in force must not go back.
+  // Guards against reverting the configuration: a peer that was partitioned for long sends old
+  // changes.
   @Test
   void neverGoesBackWhenOldChangesArriveLate() {
     // GIVEN
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
@@ -32,7 +32,7 @@
   private final FakeTable table = new FakeTable(timers);
   private final ConfigStore store = new ConfigStore(table, new ListCodec(), timers);
 
-  /** Keeps resources in a list and writes their places. */
+  /** Keeps resources in a list and serializes them as their index. */
   private static final class ListCodec implements ResourceCodec {
     private final List<Resource> written = new ArrayList<>();
 
@@ -77,8 +77,8 @@
     assertThat(refused.current().orElseThrow().spec()).isEqualTo(team(2));
   }
 
-  // The change takes effect, but the answer is lost. The operator sends it again with the same
-  // change id and gets the first answer; the top-up is added once.
+  // Guards against crediting a top-up twice: the change takes effect, but its response is lost, and
+  // the operator sends it again with the same change id.
   @Test
   void acceptsChangeOnceWhenItsAnswerWasLost() {
     // GIVEN
