--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
@@ -35,7 +35,7 @@
 import java.util.Deque;
 import java.util.concurrent.TimeUnit;
 
-/** One caller's connection: reads a request, runs it, and only then reads the next. */
+/** Handles one caller connection; requests are processed one after the other. */
 final class CallerHandler extends ChannelInboundHandlerAdapter {
 
   private static final int MAX_QUEUED_MESSAGES = 64;
@@ -184,10 +184,9 @@
   }
 
   /**
-   * Lets the upstream wait while the caller does not keep up, and gives the caller up in the end.
+   * Pauses reading from the upstream while the caller does not keep up, and closes the connection after a timeout.
    *
-   * <p>Failure: a caller stops reading. Symptom: its answer piles up in memory and holds a slot.
-   * The upstream is read no faster than the caller reads, and only for a bounded time.
+   * <p>Without this, the response to a caller that stops reading would accumulate in memory and occupy an upstream slot. The upstream is therefore read no faster than the caller reads, and only for a bounded time.
    */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHeaders.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHeaders.java
@@ -1,24 +1,24 @@
 package io.mothrill.wire.caller;
 
-/** Headers between callers and mothrill. */
+/** Headers exchanged with callers. */
 public final class CallerHeaders {
 
-  /** The caller's key: the same key gets the same answer and one bill. */
+  /** The caller's idempotency key: requests with the same key get the same response and are billed once. */
   public static final String IDEMPOTENCY_KEY = "idempotency-key";
 
-  /** The run's id, sent with the first bytes of every answer. */
+  /** The id of the run, sent in the header of every response. */
   public static final String REQUEST_ID = "mothrill-request-id";
 
-  /** The key under which the caller may ask again, the caller's own or one that was minted. */
+  /** The key with which the caller can repeat the request: its own idempotency key or a generated one. */
   public static final String REQUEST_KEY = "mothrill-request-key";
 
-  /** The class of the call: {@code urgent} or {@code batch}. */
+  /** The priority of the call: {@code urgent} or {@code batch}. */
   public static final String PRIORITY = "mothrill-priority";
 
-  /** Set to {@code true} when the request may not run twice. */
+  /** Set to {@code true} when the request must not run more than once. */
   public static final String UNREPEATABLE = "mothrill-unrepeatable";
 
-  /** The budget to draw on, when the team has several. */
+  /** The budget to use when the team has several. */
   public static final String BUDGET = "mothrill-budget";
 
   private CallerHeaders() {}
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerLimits.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerLimits.java
@@ -1,18 +1,18 @@
 package io.mothrill.wire.caller;
 
 /**
- * What one caller may take up.
+ * The resource limits of one caller connection.
  *
- * @param maxBodyBytes the largest request body
- * @param sendStallMs how long a request may take to arrive
- * @param readStallMs how long a caller may read nothing while an answer waits for it
+ * @param maxBodyBytes the maximum size of a request body
+ * @param sendStallMs how long receiving a request may take
+ * @param readStallMs how long a caller may read nothing while response data is pending
  */
 public record CallerLimits(int maxBodyBytes, long sendStallMs, long readStallMs) {
 
   /**
-   * Gives the limits that suit both deployments.
+   * Returns the default limits.
    *
-   * @return eight megabytes, ten seconds, thirty seconds
+   * @return 8 MB, 10 seconds and 30 seconds
    */
   public static CallerLimits standard() {
     return new CallerLimits(8 * 1024 * 1024, 10_000, 30_000);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequestReader.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequestReader.java
@@ -21,7 +21,7 @@
 import java.util.OptionalLong;
 import org.apache.commons.codec.digest.DigestUtils;
 
-/** Reads callers' requests: chat completions and calls to plain services. */
+/** Parses callers' requests: chat completions and calls to plain services. */
 final class CallerRequestReader {
 
   static final String CHAT_PATH = "/v1/chat/completions";
@@ -44,11 +44,11 @@
   private CallerRequestReader() {}
 
   /**
-   * Reads a request.
+   * Parses a request.
    *
-   * @param input the request as it came
-   * @return the request for the core
-   * @throws RefusedException when it is not one that is served
+   * @param input the received request
+   * @return the parsed request
+   * @throws RefusedException when the request is invalid or its path is unknown
    */
   static CallRequest read(HttpServerRequest input) {
     try {
@@ -93,7 +93,7 @@
         TRUNCATED_STREAM_END);
   }
 
-  /** No tokenizer makes more tokens than a text has bytes. */
+  /** Returns an upper bound of the prompt's tokens: no tokenizer produces more tokens than the text has bytes. */
   private static long maxPromptTokens(JsonNode messages) {
     return Json.bytes(messages).length + (long) OVERHEAD_TOKENS_PER_MESSAGE * messages.size();
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerServer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerServer.java
@@ -8,20 +8,20 @@
 import io.netty.handler.flush.FlushConsolidationHandler;
 import java.util.List;
 
-/** Listens for callers. */
+/** The HTTP server for callers. */
 public final class CallerServer {
 
   private final HttpServer server;
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
    * @param group the event loops
    * @param host an IP address
    * @param port a TCP port; 0 for any
-   * @param requests runs the requests
+   * @param requests executes the requests
    * @param config the configuration in force
-   * @param limits what one caller may take up
+   * @param limits the resource limits of one caller connection
    */
   public CallerServer(
       EventLoopGroup group,
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port.
    *
-   * @return the port that is listened on
+   * @return the listening port
    */
   public int port() {
     return server.port();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/ChatBody.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/ChatBody.java
@@ -5,7 +5,7 @@
 import io.mothrill.core.upstream.CallBody;
 import io.mothrill.wire.json.Json;
 
-/** The body of a chat completion, with the output cap and the wish for usage written into it. */
+/** The body of a chat completion request, with the output cap set and usage reports requested. */
 final class ChatBody implements CallBody {
 
   private final ObjectNode body;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Locale;
 
-/** Writes one answer to a caller's connection. */
+/** Writes one response to a caller's connection. */
 final class NettyCallerStream implements CallerStream {
 
   private static final long SECOND_MS = 1_000;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The edge towards callers. */
+/** The HTTP server for callers. */
 package io.mothrill.wire.caller;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/Address.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/Address.java
@@ -5,7 +5,7 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where a server listens.
+ * The address of a server.
  *
  * @param host an IP address
  * @param port a TCP port
@@ -13,12 +13,12 @@
 public record Address(String host, int port) {
 
   /**
-   * Reads an address.
+   * Parses an address.
    *
-   * @param text the address, as {@code HOST:PORT}
-   * @param path where it was given, for the error
+   * @param text the address in the form {@code HOST:PORT}
+   * @param path the path of the input field or option, for the error message
    * @return the address
-   * @throws InvalidInputException when the text is no address
+   * @throws InvalidInputException when the text is not an address
    */
   public static Address parse(String text, String path) {
     int colon = text.lastIndexOf(':');
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Makes the address for a socket.
+   * Converts the address to a socket address.
    *
    * @return the socket address
    */
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** One client connection: passes the answer of the current call to its sink. */
+/** Handles one client connection and passes the response of the current call to its sink. */
 final class ClientHandler extends SimpleChannelInboundHandler<HttpObject> {
 
   static final String NAME = "mothrill-client";
@@ -29,10 +29,9 @@
   private Future<?> watchdog;
 
   /**
-   * Finds the handler of a connection.
+   * Returns the handler of a connection, or empty when the connection is closed.
    *
-   * <p>Failure: a connection that is closed has no handlers any more. Symptom: whoever gives up its
-   * call stops halfway, and the caller is never answered.
+   * <p>The pipeline of a closed channel has no handlers. Dereferencing the missing handler would abort the cancellation of a call halfway, and its caller would never get a response.
    */
   static Optional<ClientHandler> find(Channel channel) {
     return Optional.ofNullable((ClientHandler) channel.pipeline().get(NAME));
@@ -56,11 +55,9 @@
   }
 
   /**
-   * Gives up on a connection that says nothing.
+   * Schedules the check that fails a call on a silent connection.
    *
-   * <p>Failure: something between the two ends has lost track of the connection. Symptom: the call
-   * waits for ever, though new connections work. Only this connection is closed. While reading is
-   * stopped for a slow caller, silence is not the upstream's fault.
+   * <p>A middlebox may have lost the state of the connection. The call would then wait forever, although new connections work, so only this connection is closed. Silence does not count while reading is paused for a slow caller.
    */
   private void scheduleWatchdog(long delayMs) {
     watchdog =
@@ -86,7 +83,7 @@
   protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
     lastReadNanos = System.nanoTime();
     if (sink == null) {
-      // Nobody waits for this: the answer to an earlier call, or bytes too many.
+      // No call is in progress: this is a late response to an earlier call, or surplus data.
       ctx.close();
       return;
     }
@@ -130,7 +127,7 @@
     return released;
   }
 
-  /** Closes the connection without a word to the sink. */
+  /** Closes the connection without notifying the sink. */
   void abandon() {
     context
         .executor()
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HeaderNumbers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HeaderNumbers.java
@@ -4,23 +4,23 @@
 import java.util.OptionalLong;
 import java.util.regex.Pattern;
 
-/** Reads numbers from headers of other programs; what is no number is taken as not said. */
+/** Parses numbers in headers of other programs; invalid values are treated as absent. */
 public final class HeaderNumbers {
 
-  /** A decimal number without a sign or an exponent. */
+  /** A decimal number without sign or exponent. */
   private static final Pattern DECIMAL = Pattern.compile("\\d{1,9}(\\.\\d{1,9})?");
 
   private static final int MS_PER_S = 1_000;
 
-  /** An hour; whoever wants to be left alone for longer has gone. */
+  /** One hour. Longer values are ignored: a server that asks for more is gone rather than overloaded. */
   private static final int MAX_RETRY_AFTER_S = 3_600;
 
   private HeaderNumbers() {}
 
   /**
-   * Reads a decimal number.
+   * Parses a decimal number.
    *
-   * @param text the header's value
+   * @param text the header value
    * @return the number; empty for any other text
    */
   public static OptionalDouble decimal(String text) {
@@ -31,10 +31,10 @@
   }
 
   /**
-   * Reads when to come back.
+   * Parses a {@code Retry-After} header.
    *
-   * @param text the value of {@code Retry-After}, in seconds and parts of them
-   * @return milliseconds; empty for a date, and for more than an hour
+   * @param text the header value, in seconds with an optional fraction
+   * @return the delay in milliseconds; empty for a date or for more than one hour
    */
   public static OptionalLong retryAfterMs(String text) {
     OptionalDouble seconds = decimal(text);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpCall.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpCall.java
@@ -4,16 +4,16 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * One HTTP request of the client.
+ * An HTTP request to be sent by the client.
  *
  * @param to the server
- * @param pool names the pool of connections, so that classes of calls do not share them
+ * @param pool the name of the connection pool, so that different classes of calls do not share connections
  * @param method the method
  * @param path the path with its query
- * @param headers the headers; length and host are added
- * @param body the body; not to be changed
- * @param freshConnection whether to open a connection for this call alone
- * @param stallMs how long the server may be silent
+ * @param headers the headers; {@code content-length} and {@code host} are added
+ * @param body the body; must not be modified
+ * @param freshConnection whether to open a new connection for this call
+ * @param stallMs how long the server may send nothing before the call fails
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpCall(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
@@ -23,11 +23,9 @@
 import java.util.function.Supplier;
 
 /**
- * Sends HTTP calls over pooled connections and streams their answers.
+ * An HTTP client with pooled connections that streams responses.
  *
- * <p>A connection carries one call at a time and goes back to its pool only after a whole answer
- * with nothing behind it. After a cancel, a timeout, a failure or a surplus byte it is closed, so a
- * late answer can never be taken for the answer to a later call.
+ * <p>A connection carries one call at a time and is returned to its pool only after a complete response with no data following it. It is closed after a cancellation, a timeout, a failure or surplus data, so a late response can never be mistaken for the response to a later call.
  */
 public final class HttpClient {
 
@@ -53,7 +51,7 @@
    * Creates the client.
    *
    * @param group the event loops of its connections
-   * @param leadingHandlers makes the handlers that stand before all others on a connection
+   * @param leadingHandlers creates the handlers that precede all others in the pipeline of a connection
    */
   public HttpClient(EventLoopGroup group, Supplier<List<ChannelHandler>> leadingHandlers) {
     this.bootstrap =
@@ -78,12 +76,12 @@
 
   private record PoolKey(Address to, String pool) {}
 
-  /** A call under way. */
+  /** A call in progress. */
   public static final class Handle {
     private final AtomicReference<Channel> channel = new AtomicReference<>();
     private volatile boolean cancelled;
 
-    /** Gives the call up and closes its connection. */
+    /** Aborts the call and closes its connection. */
     public void cancel() {
       cancelled = true;
       Channel used = channel.get();
@@ -93,9 +91,9 @@
     }
 
     /**
-     * Stops or continues reading the answer.
+     * Pauses or resumes reading the response.
      *
-     * @param reading false to stop
+     * @param reading false to pause
      */
     public void setReading(boolean reading) {
       Channel used = channel.get();
@@ -113,8 +111,8 @@
    * Sends a call.
    *
    * @param call the call
-   * @param sink gets the answer
-   * @return the call under way
+   * @param sink receives the response
+   * @return a handle for the call
    */
   public Handle send(HttpCall call, HttpSink sink) {
     Handle handle = new Handle();
@@ -210,7 +208,7 @@
     }
   }
 
-  /** Closes connections that have been idle for long; to be called now and then. */
+  /** Closes pooled connections that have been idle for too long; must be called periodically. */
   public void closeIdleConnections() {
     idle.values().forEach(HttpClient::closeIdleConnections);
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpReply.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpReply.java
@@ -5,11 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole HTTP answer.
+ * A complete HTTP response.
  *
  * @param status the status
  * @param contentType the media type of the body
- * @param body the body; not to be changed
+ * @param body the body; must not be modified
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpReply(int status, String contentType, byte[] body) {
@@ -18,22 +18,22 @@
   public static final String JSON = "application/json";
 
   /**
-   * Answers with JSON.
+   * Creates a JSON response.
    *
    * @param status the status
    * @param node the value
-   * @return the answer
+   * @return the response
    */
   public static HttpReply json(int status, JsonNode node) {
     return new HttpReply(status, JSON, Json.bytes(node));
   }
 
   /**
-   * Answers with plain text.
+   * Creates a plain text response.
    *
    * @param status the status
    * @param text the text
-   * @return the answer
+   * @return the response
    */
   public static HttpReply text(int status, String text) {
     return new HttpReply(
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Says whether the request was served.
+   * Checks whether the request succeeded.
    *
-   * @return true for a status in the two hundreds
+   * @return true for a 2xx status
    */
   public boolean isSuccess() {
     return status / 100 == 2;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServer.java
@@ -19,7 +19,7 @@
 import java.util.function.Supplier;
 
 /**
- * Listens for HTTP on one port.
+ * An HTTP server on one port.
  *
  * <pre>{@code
  * HttpServer server = HttpServer.ofService(group, "127.0.0.1", 0, input -> answer(input));
@@ -39,12 +39,12 @@
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
    * @param group the event loops
    * @param host an IP address
    * @param port a TCP port; 0 for any
-   * @param handlers makes the handlers of a connection, behind the codec
+   * @param handlers creates the handlers that follow the codec in the pipeline of a connection
    */
   public HttpServer(
       EventLoopGroup group, String host, int port, Supplier<List<ChannelHandler>> handlers) {
@@ -76,12 +76,12 @@
   }
 
   /**
-   * Starts a server for whole requests and answers.
+   * Starts a server for complete requests and responses.
    *
    * @param group the event loops
    * @param host an IP address
    * @param port a TCP port; 0 for any
-   * @param service serves the requests
+   * @param service handles the requests
    * @return the server
    */
   public static HttpServer ofService(
@@ -94,9 +94,9 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port.
    *
-   * @return the port that is listened on
+   * @return the listening port
    */
   public int port() {
     return ((InetSocketAddress) listener.localAddress()).getPort();
@@ -108,7 +108,7 @@
     connections.close();
   }
 
-  /** Stops listening; connections go on. */
+  /** Stops listening; open connections are kept. */
   public void stopListening() {
     listener.close().syncUninterruptibly();
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServerRequest.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServerRequest.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * A whole request as the small server received it.
+ * A complete HTTP request received by a server.
  *
- * @param method the method's name
+ * @param method the name of the method
  * @param uri the path with its query
  * @param headers the headers
- * @param body the body; not to be changed
+ * @param body the body; must not be modified
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpServerRequest(String method, String uri, HttpHeaders headers, byte[] body) {
 
   /**
-   * Gives the path without its query.
+   * Returns the path without its query.
    *
    * @return the path
    */
@@ -25,20 +25,20 @@
   }
 
   /**
-   * Splits the path.
+   * Returns the segments of the path.
    *
-   * @return its segments, without the empty one before the first slash
+   * @return the segments, without the empty one before the first slash
    */
   public List<String> segments() {
     return List.of(path().substring(1).split("/", -1));
   }
 
   /**
-   * Reads a parameter of the query.
+   * Returns a query parameter.
    *
-   * @param name the parameter
-   * @param fallback its value when it is not there
-   * @return the first value
+   * @param name the name of the parameter
+   * @param fallback the value when the parameter is absent
+   * @return the first value of the parameter
    */
   public String query(String name, String fallback) {
     List<String> values = new QueryStringDecoder(uri).parameters().get(name);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
@@ -2,15 +2,15 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** What a small server does with a request. */
+/** Handles the requests to an {@link HttpServer}. */
 @FunctionalInterface
 public interface HttpService {
 
   /**
-   * Serves a request.
+   * Handles a request.
    *
    * @param input the request
-   * @return the answer; a failed future becomes status 400 for wrong input and 500 otherwise
+   * @return the response; a failed future results in status 400 for invalid input and 500 otherwise
    */
   CompletableFuture<HttpReply> serve(HttpServerRequest input);
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpSink.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpSink.java
@@ -2,29 +2,29 @@
 
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Gets the answer to one call of the client, on the connection's event loop. */
+/** Receives the response to a call, on the event loop of the connection. */
 public interface HttpSink {
 
   /**
-   * The answer begins.
+   * Called when the response starts.
    *
-   * @param head status and headers
-   * @return false to give the call up, for example because the answer is another call's
+   * @param head the status and headers
+   * @return false to abort the call, for example because the response belongs to another call
    */
   boolean onHead(HttpResponse head);
 
   /**
-   * A part of the body came.
+   * Called for each part of the body.
    *
    * @param bytes the part
    */
   void onBody(byte[] bytes);
 
-  /** The answer is whole. */
+  /** Called when the response is complete. */
   void onEnd();
 
   /**
-   * The answer will not come or will not become whole.
+   * Called when the response is missing or incomplete.
    *
    * @param sent false when no byte of the call was written
    * @param detail what happened
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ResponseAggregator.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ResponseAggregator.java
@@ -8,7 +8,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.concurrent.CompletableFuture;
 
-/** Collects the answer to a call whose body is small. */
+/** Aggregates a response with a small body. */
 public final class ResponseAggregator implements HttpSink {
 
   private static final int MAX_BYTES = 64 * 1024 * 1024;
@@ -19,16 +19,16 @@
   private String contentType = "";
 
   /**
-   * Sends a call and waits for the whole answer.
+   * Sends a call and aggregates its response.
    *
    * @param client the client
    * @param to the server
    * @param method the method
    * @param path the path with its query
    * @param headers the headers
-   * @param requestBody the body; not to be changed
-   * @param timeoutMs how long the server may be silent
-   * @return the answer; fails with {@link HttpException}
+   * @param requestBody the body; must not be modified
+   * @param timeoutMs how long the server may send nothing before the call fails
+   * @return the response; fails with {@link HttpException}
    */
   public static CompletableFuture<HttpReply> of(
       HttpClient client,
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ServiceHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ServiceHandler.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.tinylog.Logger;
 
-/** Serves whole requests of one connection, one after the other. */
+/** Handles the complete requests of one connection. */
 final class ServiceHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
   private static final int BAD_REQUEST = 400;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/error/HttpException.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/error/HttpException.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.http.error;
 
-/** A call got no whole answer. */
+/** Thrown when a call got no complete response. */
 public final class HttpException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -8,7 +8,7 @@
   private final boolean sent;
 
   /**
-   * Creates the error.
+   * Creates the exception.
    *
    * @param sent false when no byte of the call was written
    * @param detail what happened
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Says whether the server may have got the call.
+   * Checks whether the server may have received the call.
    *
-   * @return false when no byte was written
+   * @return false when no byte of the call was written
    */
   public boolean isSent() {
     return sent;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP by Netty's codec: a streaming client with a connection pool, and a small server. */
+/** HTTP on Netty's codec: a streaming client with a connection pool, and a simple server. */
 package io.mothrill.wire.http;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/Json.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/Json.java
@@ -16,15 +16,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads and writes JSON as trees.
+ * Parses and serializes JSON trees.
  *
- * <p>Trees are read and written token by token, without a mapper of objects: a mapper prepares
- * calendars and locales that no tree needs, which takes a fifth of a second of the start of a
- * process, in which callers wait.
+ * <p>Trees are built from and written as a token stream, without an {@code ObjectMapper}: a mapper initializes calendars and locales that trees do not need. That would delay process start by about 200 ms, during which callers wait.
  */
 public final class Json {
 
-  /** Deeper than any document here, and shallow enough for the small stacks of event loops. */
+  /** Deeper than any expected document, and shallow enough for the small stacks of event loop threads. */
   private static final int MAX_DEPTH = 100;
 
   private static final JsonFactory FACTORY =
@@ -36,7 +34,7 @@
   private Json() {}
 
   /**
-   * Reads a JSON value.
+   * Parses a JSON value.
    *
    * @param bytes UTF-8 text
    * @return the value
@@ -53,7 +51,7 @@
   }
 
   /**
-   * Reads a JSON value.
+   * Parses a JSON value.
    *
    * @param text the text
    * @return the value
@@ -80,25 +78,25 @@
   }
 
   /**
-   * Starts an object.
+   * Creates an empty object.
    *
-   * @return an empty object
+   * @return the object
    */
   public static ObjectNode object() {
     return NODES.objectNode();
   }
 
   /**
-   * Starts an array.
+   * Creates an empty array.
    *
-   * @return an empty array
+   * @return the array
    */
   public static ArrayNode array() {
     return NODES.arrayNode();
   }
 
   /**
-   * Writes a value on one line.
+   * Serializes a value on one line.
    *
    * @param node the value
    * @return UTF-8 text
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
@@ -12,13 +12,13 @@
 import java.util.function.Function;
 
 /**
- * Reads the fields of one JSON object and collects everything that is wrong with them.
+ * Reads the fields of a JSON object and collects all errors.
  *
  * <pre>{@code
  * JsonFields fields = JsonFields.of(node, "spec");
  * String service = fields.text("service");
  * long slots = fields.number("slots", 1, 10_000);
- * fields.finish();                       // throws, naming every wrong field with its path
+ * fields.finish();                       // throws, listing every invalid field with its path
  * }</pre>
  */
 public final class JsonFields {
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Begins to read an object.
+   * Creates a reader for an object.
    *
    * @param node the object
-   * @param path its path, empty for the outermost
+   * @param path the path of the object; empty for the root
    * @return the reader
    */
   public static JsonFields of(JsonNode node, String path) {
@@ -58,20 +58,20 @@
   }
 
   /**
-   * Says whether a field is there.
+   * Checks whether a field is present.
    *
    * @param name the field
-   * @return true when it has a value
+   * @return true when the field has a non-null value
    */
   public boolean has(String name) {
     return find(name).isPresent();
   }
 
   /**
-   * Reads a required text.
+   * Reads a required string.
    *
    * @param name the field
-   * @return the text; empty when it is wrong
+   * @return the string; empty when the field is invalid
    */
   public String text(String name) {
     if (!has(name)) {
@@ -81,11 +81,11 @@
   }
 
   /**
-   * Reads an optional text.
+   * Reads an optional string.
    *
    * @param name the field
-   * @param fallback the value when the field is not there
-   * @return the text
+   * @param fallback the value when the field is absent
+   * @return the string
    */
   public String text(String name, String fallback) {
     return find(name)
@@ -97,7 +97,7 @@
    * Reads a required name: letters, digits, dots, underscores and dashes.
    *
    * @param name the field
-   * @return the name; empty when it is wrong
+   * @return the name; empty when the field is invalid
    */
   public String name(String name) {
     String value = text(name);
@@ -108,12 +108,12 @@
   }
 
   /**
-   * Reads a required whole number.
+   * Reads a required integer.
    *
    * @param name the field
-   * @param min the least value
-   * @param max the greatest value
-   * @return the number; {@code min} when it is wrong
+   * @param min the minimum value
+   * @param max the maximum value
+   * @return the number; {@code min} when the field is invalid
    */
   public long number(String name, long min, long max) {
     if (!has(name)) {
@@ -123,12 +123,12 @@
   }
 
   /**
-   * Reads an optional whole number.
+   * Reads an optional integer.
    *
    * @param name the field
-   * @param min the least value
-   * @param max the greatest value
-   * @param fallback the value when the field is not there
+   * @param min the minimum value
+   * @param max the maximum value
+   * @param fallback the value when the field is absent
    * @return the number
    */
   public long number(String name, long min, long max, long fallback) {
@@ -136,12 +136,12 @@
   }
 
   /**
-   * Reads an optional whole number that has no default.
+   * Reads an optional integer without a default.
    *
    * @param name the field
-   * @param min the least value
-   * @param max the greatest value
-   * @return the number, or empty when the field is not there
+   * @param min the minimum value
+   * @param max the maximum value
+   * @return the number, or empty when the field is absent
    */
   public OptionalLong optionalNumber(String name, long min, long max) {
     return has(name) ? OptionalLong.of(number(name, min, max, min)) : OptionalLong.empty();
@@ -160,11 +160,11 @@
   }
 
   /**
-   * Reads an optional truth value.
+   * Reads an optional boolean.
    *
    * @param name the field
-   * @param fallback the value when the field is not there
-   * @return the truth value
+   * @param fallback the value when the field is absent
+   * @return the boolean
    */
   public boolean flag(String name, boolean fallback) {
     return find(name)
@@ -174,12 +174,12 @@
   }
 
   /**
-   * Reads an optional word out of a fixed set.
+   * Reads an optional string out of a fixed set.
    *
    * @param name the field
-   * @param words the allowed words
-   * @param fallback the value when the field is not there
-   * @return the word
+   * @param words the allowed values
+   * @param fallback the value when the field is absent
+   * @return the value
    */
   public String choice(String name, List<String> words, String fallback) {
     String value = text(name, fallback);
@@ -191,10 +191,10 @@
   }
 
   /**
-   * Reads an optional list of texts.
+   * Reads an optional list of strings.
    *
    * @param name the field
-   * @return the texts; empty when the field is not there
+   * @return the strings; empty when the field is absent
    */
   public List<String> texts(String name) {
     List<String> texts = new ArrayList<>();
@@ -214,9 +214,9 @@
    * Reads an optional list of objects.
    *
    * @param name the field
-   * @param reader reads one object; its errors are collected here
-   * @param <T> what an object is read as
-   * @return what was read
+   * @param reader reads one object; its errors are added to those of this reader
+   * @param <T> the type that an object is read as
+   * @return the result
    */
   public <T> List<T> objects(String name, Function<JsonFields, T> reader) {
     List<T> read = new ArrayList<>();
@@ -248,7 +248,7 @@
   }
 
   /**
-   * Reads an optional list of objects of which only some fields are known.
+   * Reads an optional list of objects that may have unknown fields.
    *
    * @param name the field
    * @return the objects
@@ -267,12 +267,12 @@
   }
 
   /**
-   * Reads an object inside this one; an absent one is read as empty.
+   * Reads a nested object; an absent one is read as empty.
    *
    * @param name the field
-   * @param reader reads the object; its errors are collected here
-   * @param <T> what the object is read as
-   * @return what was read
+   * @param reader reads the object; its errors are added to those of this reader
+   * @param <T> the type that the object is read as
+   * @return the result
    */
   public <T> T object(String name, Function<JsonFields, T> reader) {
     JsonFields fields = new JsonFields(find(name).orElseGet(Json::object), pathOf(name), errors);
@@ -282,19 +282,19 @@
   }
 
   /**
-   * Refuses a field for a reason of the caller's.
+   * Adds an error for a field.
    *
    * @param name the field
-   * @param reason the reason, to be read after the path
+   * @param reason the reason, phrased to follow the path
    */
   public void refuse(String name, String reason) {
     errors.add(FieldError.refused(pathOf(name), reason));
   }
 
   /**
-   * Ends the reading.
+   * Finishes reading.
    *
-   * @throws InvalidInputException when a field was wrong, missing or unknown
+   * @throws InvalidInputException when a field was invalid, missing or unknown
    */
   public void finish() {
     refuseUnknown();
@@ -302,9 +302,9 @@
   }
 
   /**
-   * Ends the reading of an object that may have further fields.
+   * Finishes reading an object that may have unknown fields.
    *
-   * @throws InvalidInputException when a field was wrong or missing
+   * @throws InvalidInputException when a field was invalid or missing
    */
   public void finishLenient() {
     if (!errors.isEmpty()) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonResources.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonResources.java
@@ -21,10 +21,10 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Reads and writes resources as operators see them. */
+/** Parses and serializes resources in the JSON form that operators use. */
 public final class JsonResources implements ResourceCodec {
 
-  /** The version of the resources' form. */
+  /** The API version of the resources. */
   public static final String API_VERSION = "mothrill.io/v1";
 
   private static final long MAX_TOKENS = 1_000_000_000_000_000L;
@@ -34,21 +34,21 @@
       List.of("Team", "Budget", "Service", "Upstream", "Evacuation");
 
   /**
-   * A resource as an operator declares it.
+   * A resource as declared by an operator.
    *
    * @param kind the kind
    * @param name the name
-   * @param version the resource version that must still stand, when the operator gave one
-   * @param spec what is declared
+   * @param version the resource version that the declaration requires, if given
+   * @param spec the declared spec
    */
   public record Manifest(ResourceKind kind, String name, OptionalLong version, Spec spec) {}
 
   /**
-   * Reads what an operator declares.
+   * Parses a declared resource.
    *
    * @param node the JSON object
    * @return the manifest
-   * @throws io.mothrill.core.error.InvalidInputException naming every wrong field
+   * @throws io.mothrill.core.error.InvalidInputException listing every invalid field
    */
   public static Manifest readManifest(JsonNode node) {
     JsonFields fields = JsonFields.of(node, "");
@@ -122,7 +122,7 @@
   }
 
   /**
-   * Writes a resource as operators see it.
+   * Serializes a resource in the operators' form.
    *
    * @param resource the resource
    * @return the JSON object
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
@@ -12,12 +12,12 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** Turns tokens into trees and trees into tokens. */
+/** Converts between JSON tokens and trees. */
 final class JsonTrees {
 
   private JsonTrees() {}
 
-  /** Reads one value and makes sure that nothing follows it; null for an empty text. */
+  /** Reads one value and checks that nothing follows it; returns null for empty input. */
   static JsonNode readWhole(JsonParser parser, JsonNodeFactory nodes) throws IOException {
     if (parser.nextToken() == null) {
       return null;
@@ -70,7 +70,7 @@
     };
   }
 
-  /** Writes a value. */
+  /** Writes a value as tokens. */
   static void write(JsonNode node, JsonGenerator generator) throws IOException {
     switch (node.getNodeType()) {
       case OBJECT -> writeObject(node, generator);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/NameFormat.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/NameFormat.java
@@ -2,10 +2,10 @@
 
 import java.util.regex.Pattern;
 
-/** The rule that names of resources, instances and keys keep. */
+/** The format of the names of resources, instances and keys. */
 public final class NameFormat {
 
-  /** The rule, to be read after a field's path. */
+  /** The description of the format, phrased to follow a field's path. */
   public static final String RULE =
       "must have 1 to 128 characters out of letters, digits, '.', '_', '~', ':' and '-'";
 
@@ -17,7 +17,7 @@
    * Checks a name.
    *
    * @param name the name
-   * @return true when it keeps the rule
+   * @return true when the name has the required format
    */
   public static boolean isValid(String name) {
     return VALID.matcher(name).matches();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/package-info.java
@@ -1,2 +1,2 @@
-/** JSON by Jackson: checked reading with field paths, and the resources' codec. */
+/** JSON on Jackson: a validating reader that reports field paths, and the codec for resources. */
 package io.mothrill.wire.json;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/MetricsPage.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/MetricsPage.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Writes metrics in the text form that scrapers read. */
+/** Renders metrics in the text format that scrapers read. */
 final class MetricsPage {
 
   private static final String PREFIX = "mothrill_";
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorClient.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls an instance's operator port. */
+/** A client for the operator port of an instance. */
 public final class OperatorClient {
 
   private static final byte[] EMPTY_BODY = new byte[0];
@@ -27,8 +27,8 @@
    *
    * @param http the HTTP client
    * @param server an instance's operator port
-   * @param who the operator, for the history
-   * @param timeoutMs how long to wait for an answer
+   * @param who the operator, recorded in the change log
+   * @param timeoutMs how long to wait for a response
    */
   public OperatorClient(HttpClient http, Address server, String who, long timeoutMs) {
     this.http = http;
@@ -41,8 +41,8 @@
    * Declares a resource.
    *
    * @param manifest the resource
-   * @param changeId makes a repeated call harmless
-   * @return the server's answer
+   * @param changeId makes the call idempotent
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> apply(JsonNode manifest, String changeId) {
     String kind = manifest.path("kind").asText().toLowerCase(Locale.ROOT);
@@ -55,19 +55,19 @@
    *
    * @param kind the kind
    * @param name the name
-   * @param changeId makes a repeated call harmless
-   * @return the server's answer
+   * @param changeId makes the call idempotent
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> delete(String kind, String name, String changeId) {
     return call(HttpMethod.DELETE, pathOf(kind, name), changeId, EMPTY_BODY);
   }
 
   /**
-   * Reads a resource, or all of a kind.
+   * Reads a resource, or all resources of a kind.
    *
    * @param kind the kind
    * @param name the name; empty for all
-   * @return the server's answer
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> get(String kind, String name) {
     return call(HttpMethod.GET, pathOf(kind, name), "", EMPTY_BODY);
@@ -78,7 +78,7 @@
    *
    * @param after the revision
    * @param waitMs how long to wait
-   * @return the server's answer
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> changes(long after, long waitMs) {
     return call(
@@ -86,19 +86,19 @@
   }
 
   /**
-   * Asks how far the configuration has spread.
+   * Reads the configuration revisions of the instance and its peers.
    *
-   * @return the server's answer
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> config() {
     return call(HttpMethod.GET, "/apis/v1/config", "", EMPTY_BODY);
   }
 
   /**
-   * Asks why a request went where it went.
+   * Reads the routing decisions about a request.
    *
-   * @param requestId the run's id
-   * @return the server's answer
+   * @param requestId the id of the run
+   * @return the server's response
    */
   public CompletableFuture<HttpReply> decisions(String requestId) {
     return call(HttpMethod.GET, "/apis/v1/decisions/" + requestId, "", EMPTY_BODY);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
@@ -30,8 +30,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves operators: {@code /apis/v1/{kind}/{name}} to declare, read and delete resources, {@code
- * /apis/v1/changes} to watch, {@code /apis/v1/config} and {@code /apis/v1/decisions} to ask.
+ * Serves operators: {@code /apis/v1/{kind}/{name}} declares, reads and deletes resources, {@code /apis/v1/changes} watches changes, and {@code /apis/v1/config} and {@code /apis/v1/decisions} report the state of this instance.
  */
 public final class OperatorService implements HttpService {
 
@@ -54,12 +53,12 @@
   /**
    * Creates the service.
    *
-   * @param store accepts changes
-   * @param config the configuration in force here
-   * @param membership knows how far the peers have come
-   * @param status what is added to resources that are read
-   * @param decisions the last routing decisions
-   * @param timers the time
+   * @param store accepts configuration changes
+   * @param config the configuration in force on this instance
+   * @param membership knows the configuration revisions of the peers
+   * @param status provides the status of resources
+   * @param decisions the recent routing decisions
+   * @param timers the timer service
    */
   public OperatorService(
       ConfigStore store,
@@ -142,7 +141,7 @@
     return node;
   }
 
-  /** Gives the changes after a revision, and waits for the next one when there is none. */
+  /** Returns the changes after a revision, waiting for the next one when there is none. */
   private CompletableFuture<HttpReply> changes(HttpServerRequest input) {
     long after = queryNumber(input, "after", 0);
     long waitMs = Math.min(MAX_WAIT_MS, queryNumber(input, "waitMs", 0));
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
@@ -19,8 +19,8 @@
   /**
    * Creates the service.
    *
-   * @param unreadyReason why the instance takes no requests; empty when it takes them
-   * @param metrics what is exposed
+   * @param unreadyReason returns why the instance accepts no requests, or an empty string when it is ready
+   * @param metrics the exposed metrics
    */
   public ProbeService(Supplier<String> unreadyReason, MetricRegistry metrics) {
     this.unreadyReason = unreadyReason;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ReadinessResponse.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ReadinessResponse.java
@@ -2,7 +2,7 @@
 
 import io.mothrill.wire.http.HttpReply;
 
-/** The answer to the question whether an instance takes requests. */
+/** The response to a readiness probe. */
 public final class ReadinessResponse {
 
   private static final int OK = 200;
@@ -11,9 +11,9 @@
   private ReadinessResponse() {}
 
   /**
-   * Makes the answer.
+   * Creates the response.
    *
-   * @param unreadyReason why the instance takes no requests; empty when it takes them
+   * @param unreadyReason why the instance accepts no requests; empty when it is ready
    * @return 200, or 503 with the reason
    */
   public static HttpReply of(String unreadyReason) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Describes the state of a resource, as the platform and this instance see it. */
+/** Describes the state of a resource as seen by the platform and this instance. */
 public final class ResourceStatus {
 
   private final TableService table;
@@ -24,12 +24,12 @@
   private final Router router;
 
   /**
-   * Creates the description.
+   * Creates the status provider.
    *
    * @param table the platform's table
-   * @param budgets the budgets on this instance
+   * @param budgets the budgets of this instance
    * @param upstreams the upstreams as this instance sees them
-   * @param router the queues on this instance
+   * @param router the request queues of this instance
    */
   public ResourceStatus(
       TableService table, BudgetController budgets, UpstreamRegistry upstreams, Router router) {
@@ -43,7 +43,7 @@
    * Describes a resource.
    *
    * @param resource the resource
-   * @return its status; without the platform's part while the platform does not answer
+   * @return its status; without the platform's part while the platform does not respond
    */
   public CompletableFuture<ObjectNode> of(Resource resource) {
     return switch (resource.kind()) {
@@ -86,7 +86,7 @@
     return node;
   }
 
-  /** Tells what is still under way there, so that an operator sees when the domain is empty. */
+  /** Reports the requests still in flight in the domain, so that operators see when it has been evacuated. */
   private ObjectNode ofEvacuation(String domain) {
     List<UpstreamState> there =
         upstreams.all().stream()
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The edge towards operators and the platform's probes. */
+/** The HTTP services for operators and the platform's probes. */
 package io.mothrill.wire.operator;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Netty edges and clients: callers, upstreams, operators, peers and the platform. */
+/** Netty servers and clients for callers, upstreams, operators, peers and the platform. */
 package io.mothrill.wire;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
@@ -9,16 +9,16 @@
 import io.mothrill.wire.peer.generated.CrashedRequest;
 import java.util.Optional;
 
-/** Writes messages about requests under which upstreams crash, and reads those of others. */
+/** Converts messages about requests that crash upstreams from and to protobuf. */
 final class CrashNoticeCodec {
 
-  /** Longer than any record is kept. */
+  /** One day, which is longer than any record is retained. */
   private static final long MAX_AGE_MS = 86_400_000;
 
-  /** More crashes than any instance keeps of one request. */
+  /** More crashes than an instance keeps for one request. */
   private static final int MAX_CRASHES = 16;
 
-  /** The longest key that a row of the platform's table may have. */
+  /** The maximum length of a row key in the platform's table. */
   private static final int MAX_NAME_CHARS = 200;
 
   private CrashNoticeCodec() {}
@@ -47,7 +47,7 @@
         .build();
   }
 
-  /** Reads a message; empty when no instance can have written it. */
+  /** Parses a message; empty when no instance can have sent it. */
   static Optional<CrashMessage> read(CrashNotice notice) {
     boolean possible =
         notice.getRequestsCount() <= CrashMessage.MAX_ENTRIES
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
@@ -30,33 +30,29 @@
 import java.util.stream.IntStream;
 import org.tinylog.Logger;
 
-/** Notices between instances, each in a datagram of its own; nothing is repeated or confirmed. */
+/** Sends and receives notices between instances, one per UDP datagram, without retransmission or acknowledgement. */
 public final class DatagramNotices
     implements PromptNoticeSender,
         CrashMessageSender,
         UpstreamStatusReportSender,
         RateLimitReportSender {
 
-  /** Shorter prompts are read before the notice could change a choice. */
+  /** Upstreams process shorter prompts before a notice could influence the choice of an upstream. */
   private static final long MIN_TOKENS = 1_500;
 
   /**
-   * Tokens of a prompt for each instance that is told of it.
+   * The minimum prompt tokens per recipient of a notice.
    *
-   * <p>Failure: every instance tells all others of every prompt. Symptom: the datagrams grow with
-   * the square of the fleet, and small instances do little else. A prompt that holds an upstream up
-   * for longer is worth more of them: with seventy instances those of 7,000 tokens and more are
-   * told, about 50 to 90 ms of an upstream's time.
+   * <p>If every instance sent a notice of every prompt to all others, the number of datagrams would grow with the square of the fleet size and keep small instances busy. A prompt that occupies an upstream for longer justifies more datagrams: with 70 instances, notices are sent for prompts of at least 7,000 tokens, which take about 50 to 90 ms of an upstream's time.
    */
   private static final long TOKENS_PER_RECIPIENT = 100;
 
   /**
-   * Most instances that get a notice. With more, each would spend more on notices than a long
-   * prompt costs.
+   * The maximum number of recipients of a notice. With more, sending the notices would cost each instance more than a long prompt does.
    */
   private static final int MAX_RECIPIENTS = 80;
 
-  /** Longer than any prompt that an upstream's memory could take. */
+  /** More tokens than the memory of any upstream can hold. */
   private static final long MAX_TOKENS = 10_000_000;
 
   private final Supplier<List<InstanceRecord>> others;
@@ -64,14 +60,14 @@
   private final Channel channel;
 
   /**
-   * Starts to listen.
+   * Starts listening.
    *
    * @param group the event loops
    * @param host an IP address
    * @param port a UDP port; 0 for any
-   * @param others the instances that are told
-   * @param listeners get the notices of others
-   * @param work counts what the notices cost
+   * @param others supplies the other instances, which receive the notices
+   * @param listeners receive the notices of other instances
+   * @param work records the work spent on notices
    */
   public DatagramNotices(
       EventLoopGroup group,
@@ -136,10 +132,9 @@
   }
 
   /**
-   * Chooses whom to tell: a run of the instances that begins at another place for each speaker.
+   * Selects the recipients: consecutive instances, starting at a position that depends on the sender.
    *
-   * <p>Failure: all begin with the first one. Symptom: in a fleet with more instances than are
-   * told, the last ones never hear of a prompt and send theirs to engines that are busy.
+   * <p>If all senders started at the first instance, the last instances of a fleet with more than the maximum number of recipients would never get a notice, and would send their prompts to busy engines.
    */
   static List<InstanceRecord> recipients(List<InstanceRecord> others, String host) {
     int first = others.isEmpty() ? 0 : Math.floorMod(host.hashCode(), others.size());
@@ -153,7 +148,7 @@
     channel.close();
   }
 
-  /** Reads notices; bytes of other programs are passed over. */
+  /** Parses received notices and ignores invalid datagrams. */
   static final class NoticeHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final NoticeListeners listeners;
 
@@ -187,7 +182,7 @@
       }
     }
 
-    /** Names the sender by its address: it may have started after the others were last listed. */
+    /** Identifies the sender by its address, because it may have started after the instance list was last read. */
     private static InstanceRecord senderOf(DatagramPacket packet) {
       String host = packet.sender().getAddress().getHostAddress();
       return new InstanceRecord(host, host, "", host, packet.sender().getPort(), false);
@@ -195,7 +190,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-      // An unreachable peer shows here; the socket goes on.
+      // Raised for example for an unreachable peer; the socket stays usable.
       Logger.debug("notice failed: {}", cause.getMessage());
     }
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Writes reports about limits that upstreams name, and reads those of others. */
+/** Converts reports about the rate limits of upstreams from and to protobuf. */
 final class LimitNoticeCodec {
 
   private LimitNoticeCodec() {}
@@ -16,7 +16,7 @@
     return notice.build();
   }
 
-  /** Reads a report; empty when no instance of this release can have written it. */
+  /** Parses a report; empty when no instance of this release can have sent it. */
   static Optional<RateLimitReport> read(LimitNotice notice) {
     boolean possible =
         notice.getIncarnation().length() <= UpstreamNoticeCodec.MAX_NAME_CHARS
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
@@ -40,10 +40,9 @@
 import org.tinylog.Logger;
 
 /**
- * Links to peers: one connection to each, over which many requests are under way at once.
+ * Exchanges messages with peers over one connection per peer, which carries many concurrent requests.
  *
- * <p>A reply is matched by its correlation id alone, so replies may cross. A connection on which a
- * request went unanswered is replaced: it may have fallen silent though new ones work.
+ * <p>Replies are matched by correlation id only, so they may arrive in any order. A connection on which a request timed out is replaced, because it may be dead although new connections work.
  */
 public final class NettyPeers implements PeerLinks {
 
@@ -63,15 +62,15 @@
   private final AtomicLong nextId = new AtomicLong();
 
   /**
-   * Starts to listen for peers.
+   * Starts listening for peers.
    *
    * @param group the event loops
-   * @param encoder writes messages
-   * @param decoder reads messages
-   * @param dispatcher serves requests from peers
+   * @param encoder serializes messages
+   * @param decoder parses messages
+   * @param dispatcher handles requests from peers
    * @param host an IP address
    * @param port a TCP port; 0 for any
-   * @param work counts what the links cost
+   * @param work records the work spent on messages
    */
   public NettyPeers(
       EventLoopGroup group,
@@ -123,9 +122,9 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port.
    *
-   * @return the port that peers connect to
+   * @return the listening port
    */
   public int port() {
     return ((InetSocketAddress) listener.localAddress()).getPort();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 
 /**
- * Who gets the notices of other instances.
+ * The listeners for notices of other instances.
  *
- * @param prompts gets those about prompts
- * @param crashes gets those about requests under which upstreams crash, and where an answer goes
- * @param statusReports gets those about upstreams that have ended or are out of reach
- * @param limits gets those about upstreams that name a limit
- * @param hosts gets the IP address of each instance that sent one
+ * @param prompts receives notices about prompts
+ * @param crashes receives notices about requests that crash upstreams, with the sender to reply to
+ * @param statusReports receives reports about upstreams that have ended or are unreachable
+ * @param limits receives reports about rate limits announced by upstreams
+ * @param hosts receives the IP address of the sender of each notice
  */
 public record NoticeListeners(
     PromptNoticeSender prompts,
@@ -25,10 +25,10 @@
     Consumer<String> hosts) {
 
   /**
-   * Listens to one kind of notice only.
+   * Creates listeners that ignore all notices except crash notices.
    *
-   * @param crashes gets notices about requests under which upstreams crash
-   * @return listeners that pass over all others
+   * @param crashes receives notices about requests that crash upstreams
+   * @return the listeners
    */
   public static NoticeListeners ofCrashes(BiConsumer<CrashMessage, InstanceRecord> crashes) {
     return new NoticeListeners(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerDecoder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerDecoder.java
@@ -18,7 +18,7 @@
 import io.mothrill.wire.peer.generated.Instance;
 import java.util.Optional;
 
-/** Reads peer messages from protobuf. */
+/** Parses peer messages from protobuf. */
 public final class PeerDecoder {
 
   private final ResourceCodec resources;
@@ -26,18 +26,18 @@
   /**
    * Creates the decoder.
    *
-   * @param resources reads resources inside changes of configuration
+   * @param resources parses the resources of configuration changes
    */
   public PeerDecoder(ResourceCodec resources) {
     this.resources = resources;
   }
 
   /**
-   * Reads a message.
+   * Parses a message.
    *
    * @param envelope the envelope
    * @return the message
-   * @throws IllegalArgumentException when the envelope holds none that is known
+   * @throws IllegalArgumentException when the envelope contains no known message
    */
   public PeerMessage decode(Envelope envelope) {
     return switch (envelope.getBodyCase()) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
@@ -13,7 +13,7 @@
 import io.mothrill.wire.peer.generated.Envelope;
 import io.mothrill.wire.peer.generated.Instance;
 
-/** Writes peer messages as protobuf. */
+/** Serializes peer messages as protobuf. */
 public final class PeerEncoder {
 
   private final ResourceCodec resources;
@@ -21,14 +21,14 @@
   /**
    * Creates the encoder.
    *
-   * @param resources writes resources inside changes of configuration
+   * @param resources serializes the resources of configuration changes
    */
   public PeerEncoder(ResourceCodec resources) {
     this.resources = resources;
   }
 
   /**
-   * Writes a message.
+   * Serializes a message.
    *
    * @param message the message
    * @return an envelope without a correlation id
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/UpstreamNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/UpstreamNoticeCodec.java
@@ -6,10 +6,10 @@
 import io.mothrill.wire.peer.generated.UpstreamNotice.Fate;
 import java.util.Optional;
 
-/** Writes reports about upstreams, and reads those of others. */
+/** Converts status reports about upstreams from and to protobuf. */
 final class UpstreamNoticeCodec {
 
-  /** The longest key that a row of the platform's table may have, with a start behind it. */
+  /** The maximum length of a row key in the platform's table plus a start time suffix. */
   static final int MAX_NAME_CHARS = 230;
 
   private static final int MAX_HOST_CHARS = 45;
@@ -32,7 +32,7 @@
         .build();
   }
 
-  /** Reads a report; empty when no instance of this release can have written it. */
+  /** Parses a report; empty when no instance of this release can have sent it. */
   static Optional<UpstreamStatusReport> read(UpstreamNotice notice) {
     boolean possible =
         notice.getIncarnation().length() <= MAX_NAME_CHARS
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Links between instances: protobuf messages over TCP. */
+/** Communication between instances: protobuf messages over TCP and notices over UDP. */
 package io.mothrill.wire.peer;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpInstanceList.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpInstanceList.java
@@ -19,8 +19,8 @@
    * Creates the client.
    *
    * @param http the HTTP client
-   * @param platform where the platform listens
-   * @param timeoutMs how long to wait for an answer
+   * @param platform the address of the platform
+   * @param timeoutMs how long to wait for a response
    */
   public HttpInstanceList(HttpClient http, Address platform, long timeoutMs) {
     this.platform = new PlatformClient(http, platform, timeoutMs);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpObjectStore.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpObjectStore.java
@@ -16,8 +16,8 @@
    * Creates the client.
    *
    * @param http the HTTP client
-   * @param platform where the platform listens
-   * @param timeoutMs how long to wait for an answer
+   * @param platform the address of the platform
+   * @param timeoutMs how long to wait for a response
    */
   public HttpObjectStore(HttpClient http, Address platform, long timeoutMs) {
     this.platform = new PlatformClient(http, platform, timeoutMs);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpTableService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/HttpTableService.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's table over HTTP. */
+/** The platform's table service over HTTP. */
 public final class HttpTableService implements TableService {
 
   private final PlatformClient platform;
@@ -19,8 +19,8 @@
    * Creates the client.
    *
    * @param http the HTTP client
-   * @param platform where the platform listens
-   * @param timeoutMs how long to wait for an answer
+   * @param platform the address of the platform
+   * @param timeoutMs how long to wait for a response
    */
   public HttpTableService(HttpClient http, Address platform, long timeoutMs) {
     this.platform = new PlatformClient(http, platform, timeoutMs);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/InstanceJson.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/InstanceJson.java
@@ -4,13 +4,13 @@
 import io.mothrill.core.platform.InstanceRecord;
 import io.mothrill.wire.json.Json;
 
-/** Instance records as JSON. */
+/** Converts instance records from and to JSON. */
 public final class InstanceJson {
 
   private InstanceJson() {}
 
   /**
-   * Writes a record.
+   * Serializes a record.
    *
    * @param instance the record
    * @return the JSON object
@@ -26,7 +26,7 @@
   }
 
   /**
-   * Reads a record.
+   * Parses a record.
    *
    * @param node the JSON object
    * @return the record
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
@@ -11,7 +11,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.concurrent.CompletableFuture;
 
-/** Calls the platform and turns the HTTP layer's errors into the platform layer's. */
+/** Calls the platform and converts HTTP errors into platform exceptions. */
 final class PlatformClient {
 
   private final HttpClient http;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
@@ -5,21 +5,20 @@
 import io.mothrill.wire.http.error.HttpException;
 
 /**
- * Turns the HTTP layer's error of a call to the platform into the platform layer's.
+ * Converts HTTP errors of calls to the platform into {@link PlatformException}s.
  *
- * <p>A call that was never sent has surely done nothing; one that was sent may have been carried
- * out though its answer is lost.
+ * <p>A call that was never sent had no effect; one that was sent may have taken effect although its response was lost.
  */
 public final class PlatformErrorMapper {
 
   private PlatformErrorMapper() {}
 
   /**
-   * Turns an error.
+   * Converts an error.
    *
-   * @param path the path that was called
-   * @param error what the call ended with, wrapped or not
-   * @return the platform layer's error; one that is not the HTTP layer's stays as it is
+   * @param path the called path
+   * @param error the error of the call, possibly wrapped by a future
+   * @return the platform exception; any other error is returned unwrapped
    */
   public static Throwable map(String path, Throwable error) {
     Throwable cause = Failures.unwrap(error);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/TableJson.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/TableJson.java
@@ -12,16 +12,16 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The table service's messages as JSON. */
+/** Converts messages of the table service from and to JSON. */
 public final class TableJson {
 
   private TableJson() {}
 
   /**
-   * Writes addresses of rows.
+   * Serializes row keys.
    *
-   * @param keys the addresses
-   * @return the request's body
+   * @param keys the keys
+   * @return the request body
    */
   public static JsonNode keys(List<RowKey> keys) {
     ArrayNode array = Json.array();
@@ -34,10 +34,10 @@
   }
 
   /**
-   * Reads addresses of rows.
+   * Parses row keys.
    *
-   * @param node the request's body
-   * @return the addresses
+   * @param node the request body
+   * @return the keys
    */
   public static List<RowKey> readKeys(JsonNode node) {
     List<RowKey> keys = new ArrayList<>();
@@ -50,10 +50,10 @@
   }
 
   /**
-   * Writes rows.
+   * Serializes rows.
    *
    * @param rows the rows
-   * @return the answer's body
+   * @return the response body
    */
   public static JsonNode rows(List<Row> rows) {
     ArrayNode array = Json.array();
@@ -65,9 +65,9 @@
   }
 
   /**
-   * Reads rows.
+   * Parses rows.
    *
-   * @param node the answer's body
+   * @param node the response body
    * @return the rows
    */
   public static List<Row> readRows(JsonNode node) {
@@ -80,10 +80,10 @@
   }
 
   /**
-   * Writes the cells of a row.
+   * Serializes the cells of a row.
    *
    * @param cells the cells
-   * @return an object with a field for each cell
+   * @return an object with one field per cell
    */
   public static JsonNode cells(Cells cells) {
     ObjectNode node = Json.object();
@@ -101,9 +101,9 @@
   }
 
   /**
-   * Reads the cells of a row.
+   * Parses the cells of a row.
    *
-   * @param node an object with a field for each cell
+   * @param node an object with one field per cell
    * @return the cells
    */
   public static Cells readCells(JsonNode node) {
@@ -112,7 +112,7 @@
     return cells.build();
   }
 
-  /** Leaves out what no cell can be: read as 0 it would look like a number that someone meant. */
+  /** Skips values of unsupported types: reading them as 0 would make them look like actual numbers. */
   private static void readCell(String name, JsonNode value, Cells.Builder cells) {
     if (value.isTextual()) {
       cells.add(name, value.asText());
@@ -122,10 +122,10 @@
   }
 
   /**
-   * Writes a transaction.
+   * Serializes a transaction.
    *
    * @param transaction the transaction
-   * @return the request's body
+   * @return the request body
    */
   public static JsonNode transaction(Transaction transaction) {
     ObjectNode node = Json.object();
@@ -146,9 +146,9 @@
   }
 
   /**
-   * Reads a transaction.
+   * Parses a transaction.
    *
-   * @param node the request's body
+   * @param node the request body
    * @return the transaction
    */
   public static Transaction readTransaction(JsonNode node) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/time/NettyTimers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/time/NettyTimers.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.tinylog.Logger;
 
-/** Runs timers on an executor group of Netty's. */
+/** A timer service on a Netty executor group. */
 public final class NettyTimers implements Timers {
 
   private static final long NANOS_PER_MS = 1_000_000;
@@ -17,7 +17,7 @@
   /**
    * Creates the timer service.
    *
-   * @param executors where tasks run
+   * @param executors runs the tasks
    */
   public NettyTimers(EventExecutorGroup executors) {
     this.executors = executors;
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Gives a moment by the clock of all these timers.
+   * Converts a {@link System#nanoTime()} value to the clock of {@link #nowMs()}.
    *
-   * @param nanos what {@link System#nanoTime()} gave then
+   * @param nanos a value of {@link System#nanoTime()}
    * @return milliseconds, comparable with {@link #nowMs()}
    */
   public static long toMs(long nanos) {
@@ -59,7 +59,7 @@
     return () -> future.cancel(false);
   }
 
-  /** A repeated task that throws would never run again. */
+  /** Logs exceptions, because the executor would stop a periodic task that throws. */
   private static void runLoggingErrors(Runnable task) {
     try {
       task.run();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/HttpUpstreamClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/HttpUpstreamClient.java
@@ -20,7 +20,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.Locale;
 
-/** Sends calls to upstreams over HTTP; urgent and batch calls never share a connection. */
+/** Calls upstreams over HTTP; urgent and batch calls never share a connection. */
 public final class HttpUpstreamClient implements UpstreamClient {
 
   private final HttpClient http;
@@ -30,7 +30,7 @@
    * Creates the client.
    *
    * @param http the HTTP client
-   * @param timers the time
+   * @param timers the timer service
    */
   public HttpUpstreamClient(HttpClient http, Timers timers) {
     this.http = http;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UpstreamHeaders.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UpstreamHeaders.java
@@ -1,24 +1,24 @@
 package io.mothrill.wire.upstream;
 
-/** Headers between mothrill and upstreams. */
+/** Headers exchanged with upstreams. */
 public final class UpstreamHeaders {
 
-  /** The run's id; upstreams echo it, and an answer with another id is dropped. */
+  /** The id of the run; upstreams echo it, and a response with a different id is discarded. */
   public static final String REQUEST_ID = "x-request-id";
 
-  /** The class of a call: {@code urgent} or {@code batch}. */
+  /** The priority of a call: {@code urgent} or {@code batch}. */
   public static final String PRIORITY = "x-priority";
 
-  /** Set to {@code true} by an upstream that refuses a call and did not run it. */
+  /** Set to {@code true} by an upstream that refused a call and did not run it. */
   public static final String NOT_RUN = "x-not-run";
 
-  /** Set to {@code true} by an upstream that must get nothing new. */
+  /** Set to {@code true} by an upstream that must get no new requests. */
   public static final String LEAVING = "x-leaving";
 
-  /** How many calls the upstream is working on. */
+  /** The number of calls that the upstream is processing. */
   public static final String LOAD_RUNNING = "x-load-running";
 
-  /** How many calls wait at the upstream. */
+  /** The number of calls queued at the upstream. */
   public static final String LOAD_QUEUED = "x-load-queued";
 
   private UpstreamHeaders() {}
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
@@ -8,10 +8,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds out from an answer what it has used.
+ * Determines the token usage of a response.
  *
- * <p>Of a stream every event is read: one with a choice counts as a token unless the event says
- * more exactly. Of a plain answer the whole body is read at its end.
+ * <p>In a stream, every event with a choice counts as one output token unless the event reports the usage. In a plain response, the usage is read from the complete body.
  */
 final class UsageReader {
 
@@ -31,7 +30,7 @@
     return usage;
   }
 
-  /** Says whether a stream ended as it should, so that a truncated one is not taken for whole. */
+  /** Checks whether a stream ended with its final event, to detect truncated streams. */
   boolean isComplete() {
     return !streamed || doneSeen;
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** Calls to upstreams over HTTP. */
+/** The client for upstreams over HTTP. */
 package io.mothrill.wire.upstream;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
@@ -9,8 +9,7 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * Counts what comes and goes on one connection; the first handler of its pipeline, so that the time
- * of all others is in its figures.
+ * Measures the traffic and processing time of one connection. It must be the first handler of the pipeline, so that the processing time of all other handlers is included.
  */
 public final class WorkMeter extends ChannelDuplexHandler {
 
@@ -18,10 +17,10 @@
   private final WorkKind kind;
 
   /**
-   * Creates a meter.
+   * Creates the handler.
    *
-   * @param work gets the figures
-   * @param kind what the connection is for
+   * @param work records the measurements
+   * @param kind the kind of work of the connection
    */
   public WorkMeter(WorkStats work, WorkKind kind) {
     this.work = work;
--- a/mothrill-wire/src/main/java/io/mothrill/wire/work/package-info.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/work/package-info.java
@@ -1,2 +1,2 @@
-/** Counts the work of connections. */
+/** Measures the work of connections. */
 package io.mothrill.wire.work;
--- a/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
@@ -74,7 +74,7 @@
     group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
   }
 
-  /** Sends bytes on a connection of their own and reads until the server closes it. */
+  /** Sends a request on a new connection and reads until the server closes it. */
   private String exchange(String request) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), edge.port())) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
@@ -131,9 +131,8 @@
     assertThat(answer).startsWith("HTTP/1.1 400");
   }
 
-  // A caller sends half of its request and then nothing. It is answered and cut off, so that it
-  // does
-  // not hold a connection for ever.
+  // Guards against connections that stay open forever: a caller sends half of its request and then
+  // nothing.
   @Test
   void cutsOffCallerThatStopsSending() throws IOException {
     // WHEN
--- a/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonTest.java
@@ -43,8 +43,8 @@
     assertThrows(InvalidInputException.class, () -> Json.read(text));
   }
 
-  // Bytes of another program open thousands of lists. Read one inside the other, they would end the
-  // event loop by its stack.
+  // Guards against a stack overflow on the event loop: malformed input opens thousands of nested
+  // lists.
   @Test
   void refusesTreesThatAreTooDeep() {
     assertThrows(InvalidInputException.class, () -> Json.read("[".repeat(100_000)));
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Announces prompts to so many peers, and gives the first that one of them hears of. */
+  /** Announces prompts to a number of peers, and returns the first notice that a peer receives. */
   private Long firstHeard(int peerCount, long... announcedTokens) throws Exception {
     int port = freePort();
     final DatagramNotices listening = listener(port);
@@ -91,15 +91,15 @@
     assertThat(firstHeard(5, 2_000)).isEqualTo(2_000);
   }
 
-  // Seventy instances serve hundreds of middling prompts a second. Were each told to all others,
-  // every instance would get thousands of datagrams; only the long prompts are.
+  // Guards against a flood of datagrams: 70 instances serve hundreds of medium prompts per second,
+  // and notices of all of them would send thousands of datagrams to every instance.
   @Test
   void tellsManyPeersOnlyOfLongPrompts() throws Exception {
     assertThat(firstHeard(70, 2_000, 7_000)).isEqualTo(7_000);
   }
 
-  // A fleet has more instances than one prompt is announced to. Each instance is among those told
-  // by most of the others, so that none works with nothing but its own prompts.
+  // Guards against instances that never receive notices and know only their own prompts: the fleet
+  // has more instances than a notice has recipients.
   @Test
   void passesNoInstanceOverInLargeFleet() {
     List<InstanceRecord> fleet =
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/MalformedNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/MalformedNoticesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What comes to the port for notices from anyone but an instance does no harm. */
+/** Guards against datagrams to the notice port that were not sent by an instance. */
 class MalformedNoticesTest {
 
   private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 9);
@@ -65,8 +65,8 @@
     assertThat(heardTokens).containsExactly(4_000L);
   }
 
-  // A datagram of another program claims a prompt that no upstream could ever read. Taken at its
-  // word, the upstream would get nothing for hours.
+  // Guards against an upstream getting no requests for hours: a foreign datagram claims a prompt
+  // that is longer than any upstream can process.
   @Test
   void passesOverImpossiblePrompts() {
     receive(notice(Long.MAX_VALUE));
@@ -91,7 +91,7 @@
     assertThat(heardCrashes).hasSize(1);
   }
 
-  // A crash that lies in the future, or days back, was seen by no instance.
+  // No instance reports a crash that lies in the future or days in the past.
   @Test
   void passesOverImpossibleCrashes() {
     receive(crashNotice(-1));
@@ -132,7 +132,7 @@
         .containsExactly(new UpstreamStatusReport("i-1@0", "10.0.0.1", 80, UpstreamStatus.ENDED));
   }
 
-  // A limit that is no rate would stop or free all requests to an upstream.
+  // A limit that is not a valid rate would block or admit all requests to an upstream.
   @ParameterizedTest
   @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
   void passesOverLimitThatIsNoRate(double limitPerS) {
