--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
@@ -38,7 +38,7 @@
 import org.tinylog.Logger;
 
 /**
- * One entry instance: a node and the sockets that it is reached through.
+ * An entry instance: a node and its network endpoints.
  *
  * <pre>{@code
  * EntryInstance instance = EntryInstance.start(settings);
@@ -111,7 +111,7 @@
             new ProbeService(node::unreadyReason, metrics));
   }
 
-  /** What is to be told before the socket is open is told again by the next round. */
+  /** Messages sent before the socket is open are dropped; they are repeated periodically. */
   private void sendReport(CrashMessage message, List<InstanceRecord> to) {
     if (notices != null) {
       notices.send(message, to);
@@ -152,8 +152,8 @@
   /**
    * Starts an instance.
    *
-   * @param settings its settings
-   * @return the instance, listening
+   * @param settings the settings
+   * @return the listening instance
    */
   public static EntryInstance start(InstanceSettings settings) {
     EntryInstance instance = new EntryInstance(settings);
@@ -169,60 +169,60 @@
   }
 
   /**
-   * Gives the port for callers.
+   * Returns the port for callers.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int callerPort() {
     return callerEdge.port();
   }
 
   /**
-   * Gives the port for operators.
+   * Returns the port for operators.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int operatorPort() {
     return operatorServer.port();
   }
 
   /**
-   * Gives the port for probes and metrics.
+   * Returns the port for probes and metrics.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int opsPort() {
     return opsServer.port();
   }
 
   /**
-   * Gives the node.
+   * Returns the node.
    *
-   * @return the decisions behind the sockets
+   * @return the node that makes the decisions
    */
   public Node node() {
     return node;
   }
 
   /**
-   * Gives the metrics.
+   * Returns the metrics.
    *
-   * @return the registry
+   * @return the metric registry
    */
   public MetricRegistry metrics() {
     return metrics;
   }
 
   /**
-   * Leaves without cutting off a request.
+   * Drains the instance without aborting requests.
    *
-   * @return completes when the process may exit
+   * @return a future that completes when the process may exit
    */
   public CompletableFuture<Void> drain() {
     return node.drain();
   }
 
-  /** Closes everything at once, as a crash would. */
+  /** Closes all sockets immediately, like a crash. */
   public void close() {
     callerEdge.close();
     operatorServer.close();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/Mothrill.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/Mothrill.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The program {@code mothrill}. */
+/** The main class of {@code mothrill}. */
 public final class Mothrill {
 
   private static final Map<String, Supplier<Command>> COMMANDS =
@@ -46,7 +46,7 @@
   /**
    * Runs a command.
    *
-   * @param args the command's name and its arguments
+   * @param args the name of the command and its arguments
    */
   public static void main(String[] args) {
     System.exit(new CommandLine("mothrill", COMMANDS, System.err).run(args));
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/AuditCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/AuditCommand.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill audit}: reads the platform's books and names everything that is wrong. */
+/** {@code mothrill audit}: audits the platform's budget tables and prints every inconsistency. */
 public final class AuditCommand implements Command {
 
   private static final long TIMEOUT_MS = 10_000;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/CheckSettingsCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/CheckSettingsCommand.java
@@ -3,7 +3,7 @@
 import io.mothrill.daemon.settings.InstanceSettings;
 import org.kohsuke.args4j.Argument;
 
-/** {@code mothrill check-settings}: checks settings without running anything. */
+/** {@code mothrill check-settings}: validates a settings file. */
 public final class CheckSettingsCommand implements Command {
 
   @Argument(required = true, metaVar = "FILE", usage = "settings in JSON")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/Command.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/Command.java
@@ -1,15 +1,15 @@
 package io.mothrill.daemon.cli;
 
-/** One command of the command line; args4j fills its fields. */
+/** A command of the command line; args4j sets its fields. */
 public interface Command {
 
-  /** Everything went well. */
+  /** The exit code of a successful command. */
   int OK = 0;
 
-  /** The command failed. */
+  /** The exit code of a failed command. */
   int FAILED = 1;
 
-  /** The input or the arguments were refused. */
+  /** The exit code of a command whose input or arguments were rejected. */
   int REFUSED = 2;
 
   /**
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/CommandLine.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/CommandLine.java
@@ -11,9 +11,9 @@
 import org.kohsuke.args4j.CmdLineParser;
 
 /**
- * Finds the command that the first argument names, and runs it.
+ * Runs the command that is named by the first argument.
  *
- * <p>Exit codes: 0 done, 1 failed, 2 arguments or input refused.
+ * <p>Exit codes: 0 success, 1 failure, 2 arguments or input rejected.
  */
 public final class CommandLine {
 
@@ -24,9 +24,9 @@
   /**
    * Creates the command line.
    *
-   * @param program what stands before the command when it is called
+   * @param program the name of the program, for usage messages
    * @param commands the commands by name
-   * @param err where errors and help are printed
+   * @param err the stream for errors and usage messages
    */
   public CommandLine(String program, Map<String, Supplier<Command>> commands, PrintStream err) {
     this.program = program;
@@ -37,7 +37,7 @@
   /**
    * Runs a command.
    *
-   * @param args the command's name and its arguments
+   * @param args the name of the command and its arguments
    * @return the exit code
    */
   public int run(String... args) {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/DeleteCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/DeleteCommand.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill delete}: deletes a resource that no other refers to. */
+/** {@code mothrill delete}: deletes a resource that no other resource refers to. */
 public final class DeleteCommand extends OperatorCommand {
 
   @Argument(index = 0, required = true, metaVar = "KIND", usage = "for example upstream")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/EvacuateCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/EvacuateCommand.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill evacuate}: empties a failure domain, or takes it back. */
+/** {@code mothrill evacuate}: evacuates a failure domain, or reverts the evacuation. */
 public final class EvacuateCommand extends OperatorCommand {
 
   @Argument(index = 0, required = true, metaVar = "DOMAIN", usage = "for example ankara-a")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/GetCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/GetCommand.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.kohsuke.args4j.Argument;
 
-/** {@code mothrill get}: shows a resource, or all of a kind, with their status. */
+/** {@code mothrill get}: prints a resource, or all resources of a kind, with their status. */
 public final class GetCommand extends OperatorCommand {
 
   @Argument(index = 0, required = true, metaVar = "KIND", usage = "for example budgets")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/OperatorCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/OperatorCommand.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.kohsuke.args4j.Option;
 
-/** What all commands that call an instance's operator port have in common. */
+/** The base class of commands that call the operator port of an instance. */
 abstract class OperatorCommand implements Command {
 
   private static final long TIMEOUT_MS = 40_000;
@@ -54,7 +54,7 @@
     return output.equals("json");
   }
 
-  /** Gives the body of an answer, or prints the error that it holds. */
+  /** Returns the body of a response, or throws an exception with the error in it. */
   JsonNode checked(HttpReply reply) {
     JsonNode node = Json.read(reply.body());
     if (!reply.isSuccess()) {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ResourceTable.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ResourceTable.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Renders resources as a table for people. */
+/** Renders resources as a text table. */
 final class ResourceTable {
 
   private static final String GAP = "  ";
@@ -34,7 +34,7 @@
         summary(item.path("status")));
   }
 
-  /** Writes single values as they are and of lists only their length. */
+  /** Renders scalar values as text, and lists by their length. */
   private static String summary(JsonNode node) {
     List<String> cells = new ArrayList<>();
     node.fields()
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
@@ -8,7 +8,7 @@
 import org.tinylog.Logger;
 import sun.misc.Signal;
 
-/** {@code mothrill serve}: runs one entry instance until it is told to leave. */
+/** {@code mothrill serve}: runs an entry instance until it gets a termination signal. */
 public final class ServeCommand implements Command {
 
   @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings in JSON")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/SettingsFile.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/SettingsFile.java
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Reads files that are named on the command line. */
+/** Reads files named on the command line. */
 final class SettingsFile {
 
   private SettingsFile() {}
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/WatchCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/WatchCommand.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ExecutionException;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill watch}: prints changes as they are accepted, each once and in order. */
+/** {@code mothrill watch}: prints accepted changes, each once and in order. */
 public final class WatchCommand extends OperatorCommand {
 
   private static final long WAIT_MS = 10_000;
@@ -32,7 +32,7 @@
     return OK;
   }
 
-  /** Asks again after a failure; the revision says where to go on, at any instance. */
+  /** Retries after a failure; the revision allows resuming at any instance. */
   private JsonNode next(OperatorClient client) throws Exception {
     while (true) {
       try {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/ExplainCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/ExplainCommand.java
@@ -9,7 +9,7 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * {@code explain}: tells a request's story from the logs of one or more instances.
+ * {@code mothrill explain}: explains a request's outcome from the logs of one or more instances.
  *
  * <pre>{@code
  * mothrill explain --log edge-1.log --log edge-2.log 9c41d07be2a35f68
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The story of one request, told from the lines about it and about its instance. */
+/** Explains the outcome of a request from the log lines about it and its instance. */
 final class Explanation {
 
-  /** Changes of the plan so short before a request may have decided about it. */
+  /** How long before a request's arrival an instance event may still have influenced its outcome. */
   private static final Duration RECENT = Duration.ofSeconds(5);
 
   private final MergedLog log;
@@ -19,7 +19,7 @@
     this.log = book;
   }
 
-  /** Tells all that is known of a request; empty when no line is about it. */
+  /** Returns the explanation of a request, line by line; empty when no log line is about it. */
   List<String> explain(String requestId) {
     return log.lines().stream()
         .filter(line -> line.isRequest(requestId))
@@ -61,7 +61,7 @@
     return offers.isEmpty() ? Stream.empty() : Stream.of(offers.split("; "));
   }
 
-  /** What any instance has noted of upstreams that ended under the same request. */
+  /** Returns what any instance logged about upstreams that ended while serving the same request. */
   private Stream<String> crashes(LogLine line) {
     String fingerprint = line.text("fingerprint");
     if (fingerprint.isEmpty()) {
@@ -76,7 +76,7 @@
                     "  %s at %s: %s".formatted(other.at(), other.source(), other.text("message"))));
   }
 
-  /** What its instance was going through meanwhile. */
+  /** Returns the relevant events of the instance before the end of the request. */
   private Stream<String> instanceContext(LogLine line) {
     Instant arrived = line.at().minusMillis(line.number("tookMs"));
     return Stream.of(
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * One line of an instance's log.
+ * A line of an instance's log.
  *
- * @param source the file that it stands in, which is one instance's log
- * @param at when it was written, by the instance's time of day
- * @param fields all its fields
+ * @param source the name of the log file, which identifies the instance
+ * @param at when it was written, by the instance's wall clock
+ * @param fields the fields of the line
  */
 record LogLine(String source, Instant at, JsonNode fields) {
 
-  /** Reads a line; empty when it is not one of mothrill's. */
+  /** Parses a line; empty when it was not written by mothrill. */
   static Optional<LogLine> parse(String source, String text) {
     try {
       JsonNode fields = Json.read(text);
@@ -34,7 +34,7 @@
     return isEvent("request") && text("id").equals(id);
   }
 
-  /** Says whether the line is about upstreams that ended under a request with this fingerprint. */
+  /** Checks whether the line is about upstreams that ended under a request with this fingerprint. */
   boolean isAboutCrashes(String fingerprint) {
     boolean crash =
         messageStartsWith("upstream ended under request")
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/MergedLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/MergedLog.java
@@ -9,14 +9,14 @@
 import java.util.stream.Stream;
 
 /**
- * The lines of several logs in the order of their times.
+ * The lines of several logs, ordered by time.
  *
- * @param lines the lines that could be read
- * @param unreadableCount the lines that could not
+ * @param lines the parsed lines
+ * @param unreadableCount the number of lines that could not be parsed
  */
 record MergedLog(List<LogLine> lines, long unreadableCount) {
 
-  /** Reads whole files, each the log of one instance. */
+  /** Reads log files, one per instance. */
   static MergedLog read(List<Path> files) throws IOException {
     List<LogLine> lines = new ArrayList<>();
     long unreadable = 0;
@@ -31,7 +31,7 @@
     return new MergedLog(List.copyOf(lines), unreadable);
   }
 
-  /** Gives what the instance that wrote a line had written up to then, newest first. */
+  /** Returns the lines that the same instance wrote up to a line, newest first. */
   Stream<LogLine> before(LogLine line) {
     return lines.stream()
         .filter(other -> other.source().equals(line.source()))
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/OutcomeMeaning.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/OutcomeMeaning.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What an outcome in the log means to somebody who answers a caller's question. */
+/** Explains the outcomes of requests in the log, for support of callers. */
 final class OutcomeMeaning {
 
   private static final Map<String, String> MEANINGS =
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Tells from the logs alone what became of a request and why. */
+/** Explains from the logs what happened to a request and why. */
 package io.mothrill.daemon.explain;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
@@ -15,7 +15,7 @@
 import java.util.Arrays;
 import java.util.Set;
 
-/** Shows the state of an instance among its metrics: what it believes, and how old that is. */
+/** Registers gauges for the state of an instance and the age of its views. */
 final class ForwardGauges {
 
   private static final long NANOS_PER_MS = 1_000_000;
@@ -41,7 +41,7 @@
     metrics.gauge("edge.connectionCount", () -> edge::connectionCount);
   }
 
-  /** Shows what is held of each team's budget, also of teams that come later. */
+  /** Registers the budget gauges of each team, including teams that are added later. */
   void showSpending(PublishedValue<ForwardingPlan> plan, SpendingController spending) {
     metrics.gauge("spending.instanceCount", () -> spending::instanceCount);
     metrics.gauge("spending.renewalAgeMs", () -> spending::renewalAgeMs);
@@ -65,7 +65,7 @@
         () -> () -> spending.unassignedTokens(plan.read().findTeam(name).orElse(team)));
   }
 
-  /** Shows which upstreams get little or nothing, and what instances tell each other of them. */
+  /** Registers gauges for upstreams with restricted traffic and for the reports exchanged about them. */
   void showUpstreams(PublishedValue<Set<String>> evacuatedDomains, UpstreamSelection choice) {
     metrics.gauge("upstreams.evacuatedDomainCount", () -> () -> evacuatedDomains.read().size());
     metrics.gauge("upstreams.warmingCount", () -> choice.warming()::warmingCount);
@@ -79,7 +79,7 @@
     metrics.gauge("upstreams.reportsHeardCount", () -> choice.statusBroadcast()::receivedCount);
   }
 
-  /** Shows how many requests are under suspicion, and what is told of them. */
+  /** Registers gauges for requests suspected of crashing upstreams and the messages about them. */
   void showCrashes(CrashGuard crashes) {
     metrics.gauge("crashes.suspectCount", () -> () -> crashes.counts().suspects());
     metrics.gauge("crashes.quarantinedCount", () -> () -> crashes.counts().quarantined());
@@ -88,7 +88,7 @@
     metrics.gauge("crashes.droppedCount", () -> () -> crashes.counts().dropped());
   }
 
-  /** Shows what the event loops were busy with, and the processor time of the threads. */
+  /** Registers gauges for the work of the event loops and the CPU time of the threads. */
   void showWork(WorkStats work) {
     Arrays.stream(WorkKind.values()).forEach(kind -> showWork("work." + kind, kind, work));
     metrics.gauge("work.threadCpuMs", () -> ThreadCpuTime::totalCpuMs);
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -40,7 +40,7 @@
 import org.tinylog.Logger;
 
 /**
- * One instance that forwards requests: decisions, the sockets around them, and how it leaves.
+ * An instance that forwards requests; wires up its components and drains it on shutdown.
  *
  * <pre>{@code
  * ForwardInstance instance = new ForwardInstance(settings, ports, group, timers);
@@ -50,21 +50,20 @@
  */
 public final class ForwardInstance {
 
-  /** Callers are sent elsewhere after two questions without a yes, which come every second. */
+  /** Longer than two failed readiness probes at one per second, after which callers are routed elsewhere. */
   private static final long MIN_DRAIN_MS = 2_600;
 
   private static final long LEAVE_CHECK_MS = 100;
 
   /**
-   * Upstreams that had requests under way when they left the list are forgotten after those; a
-   * request lasts seconds, and each of them takes some hundred bytes meanwhile.
+   * How often the state of delisted upstreams without requests in flight is removed. Requests last seconds, and the state of an upstream takes a few hundred bytes.
    */
   private static final long PRUNE_INTERVAL_MS = 10_000;
 
-  /** A few hundred bytes now and then: enough to see in a log what an instance was busy with. */
+  /** The interval of log lines about the work of the event loops; each takes a few hundred bytes. */
   private static final long WORK_LOG_INTERVAL_MS = 10_000;
 
-  /** Time for the last row, after the last request. */
+  /** The time limit for returning unspent tokens after the last request. */
   private static final long HAND_BACK_TIMEOUT_MS = 300;
 
   private final ForwardSettings settings;
@@ -87,10 +86,10 @@
   /**
    * Starts an instance.
    *
-   * @param settings its settings
-   * @param ports what it reaches the platform through
+   * @param settings the settings
+   * @param ports the connections to the platform
    * @param group the event loops
-   * @param timers the time
+   * @param timers the timer service
    */
   public ForwardInstance(
       ForwardSettings settings, ForwardPorts ports, EventLoopGroup group, Timers timers) {
@@ -255,13 +254,11 @@
   }
 
   /**
-   * Leaves without cutting off a request.
+   * Drains the instance without aborting requests.
    *
-   * <p>The probe says no at once. What still arrives is served until callers have been sent
-   * elsewhere and refused after that; what is under way goes on until it has ended, or the time to
-   * leave is over.
+   * <p>The readiness probe fails immediately. New requests are served until callers have been routed elsewhere, and refused afterwards. Requests in flight continue until they end or the drain timeout expires.
    *
-   * @return completes when the process may exit
+   * @return a future that completes when the process may exit
    */
   public CompletableFuture<Void> leave() {
     if (!leaving) {
@@ -291,33 +288,33 @@
   }
 
   /**
-   * Gives the port for callers.
+   * Returns the port for callers.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int callerPort() {
     return edge.port();
   }
 
   /**
-   * Gives the port for probes.
+   * Returns the port for probes.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int probePort() {
     return probeServer.port();
   }
 
   /**
-   * Gives the port for metrics.
+   * Returns the port for metrics.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int metricsPort() {
     return metricsServer.port();
   }
 
-  /** Closes all sockets at once. */
+  /** Closes all sockets immediately. */
   public void close() {
     edge.close();
     probeServer.close();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardPorts.java
@@ -8,15 +8,15 @@
 import io.mothrill.wire.forward.Dialect;
 
 /**
- * What an instance that forwards reaches its platform through.
+ * The connections of a forwarding instance to its platform.
  *
  * @param table the platform's table
- * @param storeClock the clock of its store
- * @param state what is declared and who is there
- * @param dialect the names on the wire
- * @param callers the socket that callers connect to
- * @param work counts what the event loops do
- * @param startedMs when the process had begun, by the clock of the timers
+ * @param storeClock the clock of the platform's store
+ * @param state the source of declared configuration and registered upstreams
+ * @param dialect the wire names of headers and paths
+ * @param callers the listening socket for callers
+ * @param work records the work of the event loops
+ * @param startedMs when the process started, on the clock of the timer service
  */
 public record ForwardPorts(
     TableService table,
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 
 /**
- * The settings of an instance that forwards.
+ * The settings of a forwarding instance.
  *
- * @param id names the machine; stays the same when its process is started again
+ * @param id the id of the machine; stays the same when the process restarts
  * @param domain its failure domain
  * @param regionByDomain the region of each failure domain
- * @param callers where callers connect
- * @param peers where other instances connect
- * @param probes where the platform asks whether it is ready
- * @param readyPath the path of that question
- * @param metricsPort where its metrics are, on the address of the probes
- * @param threadCount event loops
- * @param maxBufferedBytes the most bytes of bodies that are kept at a time
- * @param view how plan and upstreams are followed
- * @param retries how often requests may be sent again
- * @param warmUp how far upstreams that warm up may be sent more than they bear
- * @param leaveMs how long requests may go on after the signal to leave
+ * @param callers the address for callers
+ * @param peers the address for other instances
+ * @param probes the address for readiness probes
+ * @param readyPath the path of the readiness probe
+ * @param metricsPort the port for metrics, on the host of the probes
+ * @param threadCount the number of event loop threads
+ * @param maxBufferedBytes the maximum bytes of bodies buffered at a time
+ * @param view how plan and upstreams are polled
+ * @param retries the limits of retries
+ * @param warmUp how far the load on warming upstreams may exceed their capacity
+ * @param leaveMs how long requests may continue after the termination signal
  */
 public record ForwardSettings(
     String id,
@@ -40,7 +40,7 @@
     WarmUpBounds warmUp,
     long leaveMs) {
 
-  /** Takes a copy of the regions. */
+  /** Copies the regions. */
   public ForwardSettings {
     regionByDomain = Map.copyOf(regionByDomain);
   }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
@@ -7,10 +7,10 @@
 import io.mothrill.core.time.Timers;
 import java.util.concurrent.CompletableFuture;
 
-/** What a process that has just started has to know before it can decide about requests. */
+/** Tracks whether a newly started process has the state it needs to handle requests. */
 final class Readiness {
 
-  /** Longest wait for the first tokens; many requests need none, so a longer one helps nobody. */
+  /** The maximum wait for the first tokens. Many requests need none, so a longer wait would only delay them. */
   private static final long FIRST_ROW_TIMEOUT_MS = 2_000;
 
   private final PublishedValue<ForwardingPlan> plan;
@@ -31,7 +31,7 @@
     this.startedMs = timers.nowMs();
   }
 
-  /** Completes with the first plan and list of upstreams, whichever comes last. */
+  /** Returns a future that completes when the first plan and the first list of upstreams are known. */
   CompletableFuture<Void> initialState() {
     CompletableFuture<Void> planKnown = new CompletableFuture<>();
     CompletableFuture<Void> upstreamsKnown = new CompletableFuture<>();
@@ -40,7 +40,7 @@
     return CompletableFuture.allOf(planKnown, upstreamsKnown);
   }
 
-  /** Says what is missing; empty once callers may come. */
+  /** Returns what is missing; empty when the instance is ready. */
   String unreadyReason() {
     if (!plan.read().isKnown()) {
       return "no plan yet";
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Answers the platform's question whether this instance takes callers. */
+/** Serves the platform's readiness probe. */
 final class ReadyService implements HttpService {
 
   private static final int NOT_FOUND = 404;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/RequestLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/RequestLog.java
@@ -10,18 +10,18 @@
 import org.tinylog.Logger;
 
 /**
- * Counts how requests end and writes a line for each, with what decided about it.
+ * Counts the outcomes of requests and logs how they were decided.
  *
- * <p>Requests that failed, were refused or were late go first; of the others only some are written.
+ * <p>Failed, refused and late requests are logged with a high rate limit; successful ones are only sampled.
  */
 final class RequestLog implements ForwardedRequestLog {
 
   private static final String SERVED = "served";
 
-  /** Lines about trouble in a second; some hundred bytes each. */
+  /** The maximum lines per second about failed, refused or late requests; each takes a few hundred bytes. */
   private static final int FAILURE_LINES_PER_S = 100;
 
-  /** Lines about requests that went well in a second, as examples to compare with. */
+  /** The maximum lines per second about successful requests, which serve as samples for comparison. */
   private static final int SERVED_LINES_PER_S = 2;
 
   private final MetricRegistry metrics;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ThreadCpuTime.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ThreadCpuTime.java
@@ -4,14 +4,14 @@
 import java.lang.management.ThreadMXBean;
 import java.util.Arrays;
 
-/** Processor time of this process's Java threads, read only when somebody asks for it. */
+/** The CPU time of this process's Java threads, read on demand. */
 final class ThreadCpuTime {
 
   private static final long NANOS_PER_MS = 1_000_000;
 
   private ThreadCpuTime() {}
 
-  /** Adds up all live threads; threads of the runtime itself are not among them. */
+  /** Returns the sum over all live Java threads, without the JVM's internal threads. */
   static long totalCpuMs() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     return Arrays.stream(threads.getAllThreadIds()).map(threads::getThreadCpuTime).sum()
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamSelection.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/UpstreamSelection.java
@@ -32,7 +32,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-/** Puts together what decides which upstream a request goes to. */
+/** Assembles the components that choose the upstream of a request. */
 final class UpstreamSelection {
 
   private final Timers timers;
@@ -49,10 +49,10 @@
   private final UpstreamPicker picker;
 
   /**
-   * What is known of declarations and upstreams.
+   * The current declarations and upstreams.
    *
    * @param plan the plan in force
-   * @param evacuatedDomains the failure domains that operators are emptying
+   * @param evacuatedDomains the failure domains that operators are evacuating
    * @param upstreams the registered upstreams
    */
   record View(
@@ -117,12 +117,12 @@
             timers);
   }
 
-  /** Takes notice of a prompt that another instance has sent to an upstream. */
+  /** Records a prompt that another instance has sent to an upstream. */
   void onNotice(String incarnation, long promptTokens) {
     loads.of(incarnation).onPromptNotice(promptTokens, speed.tokensPerMs(), timers.nowMs());
   }
 
-  /** Lets all instances know of upstreams that are found to have ended. */
+  /** Wraps a probe so that terminated upstreams are reported to all instances. */
   TerminationProbe reportingEnds(TerminationProbe ends) {
     return upstream ->
         ends.hasTerminated(upstream)
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/WorkLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/WorkLog.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import org.tinylog.Logger;
 
-/** The log line that says what the event loops were busy with since the start. */
+/** Logs the work of the event loops since the start. */
 final class WorkLog {
 
   private static final long NANOS_PER_MS = 1_000_000;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon that forwards requests on a platform with a store of its own. */
+/** The daemon that forwards requests on a platform with its own store. */
 package io.mothrill.daemon.forward;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
@@ -19,11 +19,9 @@
 import org.tinylog.writers.Writer;
 
 /**
- * Writes each log entry as one JSON object on a line of standard output.
+ * Writes each log entry to standard output as a JSON object on one line.
  *
- * <p>Failure: whoever reads standard output stops reading. Symptom: a thread that logs blocks, and
- * with it every request. Entries therefore go through a queue of fixed length to a thread of its
- * own; what does not fit is counted, and the count is written when there is room again.
+ * <p>If the reader of standard output stops reading, writing blocks, and with it every thread that logs and all requests. Entries therefore go through a bounded queue to a separate thread. Entries that do not fit are dropped and counted, and the count is written when there is room again.
  *
  * <pre>{@code
  * writer = json lines
@@ -31,7 +29,7 @@
  */
 public final class JsonLinesWriter implements Writer {
 
-  /** About half a megabyte at the usual length of a line; some seconds at the highest rate. */
+  /** About half a megabyte at the usual line length, or some seconds at the highest rate. */
   private static final int QUEUE_LENGTH = 2_048;
 
   private static final AtomicLong DROPPED = new AtomicLong();
@@ -57,9 +55,9 @@
   }
 
   /**
-   * Counts the lines that were dropped because the queue was full.
+   * Returns the number of lines that were dropped because the queue was full.
    *
-   * @return lines since the start
+   * @return the number of lines since the start
    */
   public static long droppedCount() {
     return DROPPED.get();
@@ -108,7 +106,7 @@
         queue.drainTo(lines);
         writeOut(lines);
       } catch (IOException ex) {
-        // Standard output is closed: there is nowhere left to say so.
+        // Standard output is closed, so the error cannot be reported.
         DROPPED.addAndGet(lines.size());
       } catch (InterruptedException ex) {
         return;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LogFields.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LogFields.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.io.JsonStringEncoder;
 
 /**
- * Builds a log message of named fields, which the writer puts into the line as they are.
+ * Builds a log message of named fields, which the writer inserts into the JSON line unchanged.
  *
  * <pre>{@code
  * Logger.info(LogFields.event("request").with("id", id).with("tookMs", 12).toString());
@@ -20,20 +20,20 @@
   }
 
   /**
-   * Begins a message.
+   * Starts a message.
    *
-   * @param event what happened, in a word
-   * @return the message so far
+   * @param event the name of the event
+   * @return the builder
    */
   public static LogFields event(String event) {
     return new LogFields(event);
   }
 
   /**
-   * Adds a text.
+   * Adds a string field.
    *
    * @param name the field
-   * @param value the text; left out when it is empty
+   * @param value the value; omitted when empty
    * @return this
    */
   public LogFields with(String name, String value) {
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Adds a number.
+   * Adds an integer field.
    *
    * @param name the field
-   * @param value the number
+   * @param value the value
    * @return this
    */
   public LogFields with(String name, long value) {
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Looks whether a message was built here.
+   * Checks whether a message was built by this class.
    *
    * @param message a log message
-   * @return true when it consists of fields
+   * @return true when the message consists of fields
    */
   static boolean isFields(String message) {
     return message.startsWith(START) && message.endsWith("}");
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LogRateLimiter.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/LogRateLimiter.java
@@ -1,6 +1,6 @@
 package io.mothrill.daemon.log;
 
-/** Lets through a number of lines in each second and counts the others; any thread may use it. */
+/** A thread-safe rate limiter that admits a number of lines per second and counts the others. */
 public final class LogRateLimiter {
 
   private static final long MS_PER_S = 1_000;
@@ -11,19 +11,19 @@
   private long skipped;
 
   /**
-   * Creates a limit.
+   * Creates a rate limiter.
    *
-   * @param linesPerS lines in a second
+   * @param linesPerS the maximum number of lines per second
    */
   public LogRateLimiter(int linesPerS) {
     this.linesPerS = linesPerS;
   }
 
   /**
-   * Asks for a line.
+   * Requests permission to write a line.
    *
-   * @param nowMs the time
-   * @return true when it may be written
+   * @param nowMs the current time
+   * @return true when the line may be written
    */
   public synchronized boolean tryAcquire(long nowMs) {
     if (nowMs / MS_PER_S != second) {
@@ -39,9 +39,9 @@
   }
 
   /**
-   * Counts the lines that were not let through.
+   * Returns the number of lines that were not admitted.
    *
-   * @return lines since the start
+   * @return the number of lines since the start
    */
   public synchronized long skippedCount() {
     return skipped;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/package-info.java
@@ -1,2 +1,2 @@
-/** Structured logs on standard output: one JSON object a line, bounded, never blocking. */
+/** Structured logs on standard output: one JSON object per line, written through a bounded queue without blocking. */
 package io.mothrill.daemon.log;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Thin programs: the entry instance and the operator's command line. */
+/** The executables: the entry instance and the operator's command line. */
 package io.mothrill.daemon;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/InstanceSettings.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/InstanceSettings.java
@@ -7,14 +7,14 @@
 /**
  * The settings of an entry instance.
  *
- * @param id the instance's name, which its replacement takes over
+ * @param id the name of the instance, which a replacement takes over
  * @param domain the failure domain
- * @param host the IP address that it listens on
- * @param ports the TCP ports that it listens on
- * @param platform where the platform listens
+ * @param host the IP address to listen on
+ * @param ports the TCP ports to listen on
+ * @param platform the address of the platform
  * @param platformTimeoutMs how long to wait for the platform
- * @param node how it decides
- * @param callers what one caller may take up
+ * @param node the settings of the node
+ * @param callers the resource limits of one caller connection
  */
 public record InstanceSettings(
     String id,
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
@@ -13,10 +13,9 @@
 import io.mothrill.wire.json.JsonFields;
 
 /**
- * Reads the settings of an entry instance.
+ * Parses the settings of an entry instance.
  *
- * <p>Everything but the instance's name, its domain and the platform's address has a default. An
- * unknown field, a wrong type and a value out of range are refused with the field's path.
+ * <p>All settings except the instance's name, its domain, its ports and the platform's address have defaults. Unknown fields, wrong types and values out of range are rejected with the path of the field.
  */
 public final class SettingsReader {
 
@@ -28,11 +27,11 @@
   private SettingsReader() {}
 
   /**
-   * Reads settings.
+   * Parses settings.
    *
    * @param node the JSON object
    * @return the settings
-   * @throws io.mothrill.core.error.InvalidInputException naming every wrong field
+   * @throws io.mothrill.core.error.InvalidInputException listing every invalid field
    */
   public static InstanceSettings read(JsonNode node) {
     JsonFields fields = JsonFields.of(node, "");
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of an entry instance, read from JSON and checked. */
+/** The settings of an entry instance, parsed from JSON and validated. */
 package io.mothrill.daemon.settings;
--- a/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
+++ b/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
@@ -33,8 +33,8 @@
     return new Explanation(MergedLog.read(List.of(log))).explain(id);
   }
 
-  // The caller heard 503 for lack of tokens. The log shows that the instance had been cut off from
-  // the store for five seconds by then, which is why tokens could not be moved there.
+  // A caller got 503 for lack of tokens. The store had been unreachable for the instance for five
+  // seconds, so no tokens could be transferred to it.
   @Test
   void tellsThatTheInstanceWasOutOfReachOfTheStore() throws IOException {
     String story = String.join("\n", explain("a1", REGAINED, REFUSED, LOST));
@@ -53,8 +53,9 @@
     assertThat(story).doesNotContain("out of reach");
   }
 
-  // The caller heard 503 at once: others like its request had ended three upstreams, through other
-  // instances. The story names them, with their ages and who saw them.
+  // A caller got 503 immediately, because identical requests had crashed upstreams through other
+  // instances. The explanation lists the crashes with their age and the instance that reported
+  // them.
   @Test
   void tellsWhichUpstreamsEndedUnderTheSameRequest() throws IOException {
     String ended =
