--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
@@ -23,7 +23,7 @@
     Runnable leave =
         () -> {
           if (signals.incrementAndGet() > 1) {
-            Logger.info("already draining; the signal changes nothing");
+            Logger.info("already draining; signal ignored");
           }
           instance.drain().thenRun(done::countDown);
         };
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -282,7 +282,7 @@
       return;
     }
     check.cancel();
-    Logger.info("left underWay={} tookMs={}", edge.inFlightCount(), sinceMs);
+    Logger.info("drained underWay={} tookMs={}", edge.inFlightCount(), sinceMs);
     timers.after(HAND_BACK_TIMEOUT_MS, () -> drainFuture.complete(null));
     spending.returnUnspentTokens().thenRun(() -> drainFuture.complete(null));
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
@@ -172,7 +172,7 @@
           LimitNoticeCodec.read(notice.getLimit()).ifPresent(listeners.limits());
         }
       } catch (InvalidProtocolBufferException ex) {
-        Logger.debug("notice not understood: {}", ex.getMessage());
+        Logger.debug("malformed notice ignored: {}", ex.getMessage());
       }
     }
 
@@ -191,7 +191,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
       // Raised for example for an unreachable peer; the socket stays usable.
-      Logger.debug("notice failed: {}", cause.getMessage());
+      Logger.debug("notice socket error: {}", cause.getMessage());
     }
   }
 }
