--- a/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
@@ -18,7 +18,8 @@
 /**
  * Audits the budget rows of the platform's table.
  *
- * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, {@code paid} equals the sum of its top-ups, and no request is billed by two runs or twice by one run.
+ * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, {@code
+ * paid} equals the sum of its top-ups, and no request is billed by two runs or twice by one run.
  *
  * <pre>{@code
  * new Auditor(table).audit().thenAccept(report -> report.findings().forEach(this::print));
@@ -49,8 +50,8 @@
     CompletableFuture<List<Row>> topUps = scan(BudgetTables.TOP_UPS);
     CompletableFuture<List<Row>> allotments = scan(BudgetTables.ALLOTMENTS);
     CompletableFuture<List<Row>> ledger = scan(BudgetTables.LEDGER);
-    CompletableFuture<List<Row>> late = scan(BudgetTables.LATE_BILLS);
-    return CompletableFuture.allOf(budgets, topUps, allotments, ledger, late)
+    CompletableFuture<List<Row>> lateBills = scan(BudgetTables.LATE_BILLS);
+    return CompletableFuture.allOf(budgets, topUps, allotments, ledger, lateBills)
         .thenApply(
             nothing ->
                 new LedgerCheck(
@@ -58,7 +59,7 @@
                         topUps.join(),
                         allotments.join(),
                         ledger.join(),
-                        late.join())
+                        lateBills.join())
                     .check());
   }
 
@@ -96,12 +97,12 @@
         List<Row> topUps,
         List<Row> allotments,
         List<Row> ledger,
-        List<Row> late) {
+        List<Row> lateBills) {
       this.budgets = budgets;
       this.topUps = topUps;
       this.allotments = allotments;
       this.ledger = ledger;
-      this.lateBills = late;
+      this.lateBills = lateBills;
     }
 
     AuditReport check() {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ChangeRequest.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ChangeRequest.java
@@ -11,7 +11,8 @@
  * @param kind the kind of resource
  * @param name the resource's name
  * @param spec the desired spec; empty to delete the resource
- * @param expectedVersion the current resource version that the change requires, 0 if the resource must not exist; empty for any
+ * @param expectedVersion the current resource version that the change requires, 0 if the resource
+ *     must not exist; empty for any
  * @param changeId makes the request idempotent
  * @param who the operator, recorded in the change log
  */
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
@@ -13,7 +13,9 @@
 /**
  * Keeps the published configuration up to date; its revision never decreases.
  *
- * <p>It polls the platform's table for later changes, and reads from another source when that source is known to be ahead. Instances that cannot reach the platform therefore follow their peers.
+ * <p>It polls the platform's table for later changes, and reads from another source when that
+ * source is known to be ahead. Instances that cannot reach the platform therefore follow their
+ * peers.
  */
 public final class ConfigController {
 
@@ -32,22 +34,23 @@
    * @param store the platform's table
    * @param timers the timer service
    * @param pollMs the poll interval in milliseconds
-   * @param isTurn whether this instance polls in this interval; in a large fleet only some instances do, and the others learn of a later revision from their peers
+   * @param shouldPoll whether this instance polls in this interval; in a large fleet only some
+   *     instances do, and the others learn of a later revision from their peers
    */
   public ConfigController(
       PublishedValue<ConfigSnapshot> section,
       ConfigStore store,
       Timers timers,
       long pollMs,
-      BooleanSupplier isTurn) {
+      BooleanSupplier shouldPoll) {
     this.section = section;
     this.store = store;
-    timers.every(pollMs, () -> pollInTurn(isTurn));
+    timers.every(pollMs, () -> pollIfDue(shouldPoll));
     timers.after(0, this::poll);
   }
 
-  private void pollInTurn(BooleanSupplier isTurn) {
-    if (section.read().revision() == 0 || isTurn.getAsBoolean()) {
+  private void pollIfDue(BooleanSupplier shouldPoll) {
+    if (section.read().revision() == 0 || shouldPoll.getAsBoolean()) {
       poll();
     }
   }
@@ -93,24 +96,28 @@
   }
 
   private void applyChanges(ConfigSnapshot loaded) {
-    section.update(held -> loaded.revision() > held.revision() ? loaded : held);
+    section.update(current -> loaded.revision() > current.revision() ? loaded : current);
   }
 
   /**
    * Applies changes that follow the current revision.
    *
-   * <p>A list with a gap is ignored: applying it would lose the missing change permanently, because later reads start after the highest applied revision.
+   * <p>A list with a gap is ignored: applying it would lose the missing change permanently, because
+   * later reads start after the highest applied revision.
    *
    * @param changes the changes, ordered by revision
    */
   public void applyChanges(List<Change> changes) {
-    section.update(held -> isGapless(held, changes) ? held.with(changes) : held);
+    section.update(current -> isGapless(current, changes) ? current.with(changes) : current);
     recent.updateAndGet(before -> appendRecent(before, changes));
   }
 
-  /** Keeps the most recent changes for peers that cannot reach the platform. Earlier changes are dropped when a gap follows them. */
-  private static List<Change> appendRecent(List<Change> before, List<Change> changes) {
-    List<Change> kept = new ArrayList<>(before);
+  /**
+   * Keeps the most recent changes for peers that cannot reach the platform. Earlier changes are
+   * dropped when a gap follows them.
+   */
+  private static List<Change> appendRecent(List<Change> earlier, List<Change> changes) {
+    List<Change> kept = new ArrayList<>(earlier);
     for (Change change : changes) {
       long last = kept.isEmpty() ? change.revision() - 1 : kept.get(kept.size() - 1).revision();
       if (change.revision() > last + 1) {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigSnapshot.java
@@ -61,7 +61,8 @@
   /**
    * Applies later changes.
    *
-   * <p>Changes that are not newer than the current state are ignored, so changes may arrive repeatedly and from several sources without reverting anything.
+   * <p>Changes that are not newer than the current state are ignored, so changes may arrive
+   * repeatedly and from several sources without reverting anything.
    *
    * @param changes the changes, ordered by revision
    * @return a snapshot at the revision of the last change, or this one when no change was newer
@@ -79,8 +80,8 @@
 
   private static void applyChange(Map<ResourceKind, Map<String, Resource>> copy, Change change) {
     Map<String, Resource> byName = copy.computeIfAbsent(change.kind(), kind -> new TreeMap<>());
-    Resource held = byName.get(change.name());
-    if (held != null && held.revision() >= change.revision()) {
+    Resource current = byName.get(change.name());
+    if (current != null && current.revision() >= change.revision()) {
       return;
     }
     change
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
@@ -32,7 +32,10 @@
 /**
  * Accepts configuration changes, each in one transaction on the platform's table.
  *
- * <p>The transaction writes the resource, the next revision, the change and the change id. Concurrent changes to a resource or to the revision therefore conflict: one is accepted and the other is retried on fresh rows. An operator who lost the response sends the same change id again and gets the original result.
+ * <p>The transaction writes the resource, the next revision, the change and the change id.
+ * Concurrent changes to a resource or to the revision therefore conflict: one is accepted and the
+ * other is retried on fresh rows. An operator who lost the response sends the same change id again
+ * and gets the original result.
  */
 public final class ConfigStore implements ChangeSource {
 
@@ -258,7 +261,8 @@
   /**
    * Reads the whole configuration.
    *
-   * <p>The revision is read first, so rows that change during the scan can only be newer than it. Their changes are read again from the change log later, which is harmless.
+   * <p>The revision is read first, so rows that change during the scan can only be newer than it.
+   * Their changes are read again from the change log later, which is harmless.
    *
    * @return a snapshot at the revision read first
    */
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
@@ -8,9 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/**
- * An in-memory instance list that drops instances which have not announced themselves recently.
- */
+/** An in-memory instance list that drops instances which have not announced themselves recently. */
 public final class FakeInstanceList implements InstanceList {
 
   private final Map<String, Entry> entries = new ConcurrentHashMap<>();
@@ -22,11 +20,12 @@
    * Creates an empty list.
    *
    * @param timers the timer service
-   * @param forgetAfterMs how long an instance stays listed after its last announcement, which models the lag of the list
+   * @param expiryMs how long an instance stays listed after its last announcement, which models the
+   *     lag of the list
    */
-  public FakeInstanceList(Timers timers, long forgetAfterMs) {
+  public FakeInstanceList(Timers timers, long expiryMs) {
     this.timers = timers;
-    this.expiryMs = forgetAfterMs;
+    this.expiryMs = expiryMs;
     this.faults = new FaultInjector(timers);
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeTable.java
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Returns a view of the same rows with its own fault injector, such as the connection of one instance.
+   * Returns a view of the same rows with its own fault injector, such as the connection of one
+   * instance.
    *
    * @param ownFaults the fault injector of the view
    * @return a view of this table
@@ -139,8 +140,8 @@
   private final class FaultyView implements TableService {
     private final FaultInjector faults;
 
-    FaultyView(FaultInjector way) {
-      this.faults = way;
+    FaultyView(FaultInjector faults) {
+      this.faults = faults;
     }
 
     @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
@@ -33,10 +33,10 @@
   /**
    * Delays all subsequent responses.
    *
-   * @param answerDelayMs milliseconds between effect and response
+   * @param responseDelayMs milliseconds between effect and response
    */
-  public void setDelayMs(long answerDelayMs) {
-    this.delayMs = answerDelayMs;
+  public void setDelayMs(long responseDelayMs) {
+    this.delayMs = responseDelayMs;
   }
 
   /**
@@ -52,14 +52,14 @@
     if (now == Fault.DOWN) {
       return CompletableFuture.failedFuture(PlatformException.unreachable(name));
     }
-    T answer = effect.get();
+    T value = effect.get();
     CompletableFuture<T> result = new CompletableFuture<>();
     if (now == Fault.ANSWER_LOST) {
       result.completeExceptionally(PlatformException.answerLost(name));
     } else if (delayMs == 0) {
-      result.complete(answer);
+      result.complete(value);
     } else {
-      timers.after(delayMs, () -> result.complete(answer));
+      timers.after(delayMs, () -> result.complete(value));
     }
     return result;
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/package-info.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/package-info.java
@@ -1,2 +1,4 @@
-/** The decision logic of mothrill: budgets, requests, routing, configuration, membership and drain. */
+/**
+ * The decision logic of mothrill: budgets, requests, routing, configuration, membership and drain.
+ */
 package io.mothrill.core;
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/TableService.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/TableService.java
@@ -6,7 +6,9 @@
 /**
  * The subset of the platform's transactional table service that mothrill uses.
  *
- * <p>Every future may fail with {@link io.mothrill.core.platform.error.PlatformException}. A failed write may still take effect, even after a later read, unless the exception rules it out. Callers therefore make each write conditional on the version they read.
+ * <p>Every future may fail with {@link io.mothrill.core.platform.error.PlatformException}. A failed
+ * write may still take effect, even after a later read, unless the exception rules it out. Callers
+ * therefore make each write conditional on the version they read.
  */
 public interface TableService {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
@@ -5,7 +5,8 @@
 /**
  * Uses this instance's wall clock for a store that does not report its time.
  *
- * <p>It is suitable only where the skew between wall clocks is tolerable, such as for the minutes during which a request is refused. Budget limits must not depend on it.
+ * <p>It is suitable only where the skew between wall clocks is tolerable, such as for the minutes
+ * during which a request is refused. Budget limits must not depend on it.
  */
 public final class WallClockStoreClock implements StoreClock {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
@@ -1,6 +1,9 @@
 package io.mothrill.core.platform.error;
 
-/** Thrown when a call to the platform failed; {@link #outcome()} tells whether it may have taken effect. */
+/**
+ * Thrown when a call to the platform failed; {@link #outcome()} tells whether it may have taken
+ * effect.
+ */
 public final class PlatformException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/mothrill-core/src/main/java/io/mothrill/core/resource/EvacuationSpec.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/resource/EvacuationSpec.java
@@ -1,7 +1,8 @@
 package io.mothrill.core.resource;
 
 /**
- * Evacuates the failure domain that the resource is named after: while it is declared, upstreams in the domain get no new requests.
+ * Evacuates the failure domain that the resource is named after: while it is declared, upstreams in
+ * the domain get no new requests.
  */
 public record EvacuationSpec() implements Spec {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamCall.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamCall.java
@@ -15,7 +15,8 @@
  * @param body the body
  * @param maxOutputTokens the output cap
  * @param streamed whether the response is a stream of server-sent events
- * @param freshConnection whether to open a new connection: a pooled one may have died unnoticed while idle, which would leave the outcome of an unrepeatable call unknown
+ * @param freshConnection whether to open a new connection: a pooled one may have died unnoticed
+ *     while idle, which would leave the outcome of an unrepeatable call unknown
  * @param stallMs how long the upstream may send nothing before the call is aborted
  */
 public record UpstreamCall(
--- a/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/upstream/UpstreamFailure.java
@@ -7,7 +7,8 @@
  *
  * @param kind whether the call may have run
  * @param detail what happened, for the log
- * @param retryAfterMs how long this instance must send the upstream no calls, if the upstream asked for that
+ * @param retryAfterMs how long this instance must send the upstream no calls, if the upstream asked
+ *     for that
  */
 public record UpstreamFailure(Kind kind, String detail, OptionalLong retryAfterMs) {
 
--- a/mothrill-core/src/main/java/io/mothrill/core/work/MeteredTimers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/MeteredTimers.java
@@ -36,21 +36,21 @@
 
   @Override
   public Subscription after(long delayMs, Runnable task) {
-    return timers.after(delayMs, counted(task));
+    return timers.after(delayMs, metered(task));
   }
 
   @Override
   public Subscription every(long periodMs, Runnable task) {
-    return timers.every(periodMs, counted(task));
+    return timers.every(periodMs, metered(task));
   }
 
-  private Runnable counted(Runnable task) {
+  private Runnable metered(Runnable task) {
     return () -> {
-      long beganNanos = nanos.getAsLong();
+      long startNanos = nanos.getAsLong();
       try {
         task.run();
       } finally {
-        work.onTurn(WorkKind.TIMER, nanos.getAsLong() - beganNanos);
+        work.onTurn(WorkKind.TIMER, nanos.getAsLong() - startNanos);
       }
     };
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/work/WorkStats.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/work/WorkStats.java
@@ -14,7 +14,8 @@
  * long turns = work.totals(WorkKind.STORE).turnCount();
  * }</pre>
  *
- * <p>An instance of a large fleet serves few requests, so most of its CPU time goes to background work. Comparing the figures of all kinds shows which work that is.
+ * <p>An instance of a large fleet serves few requests, so most of its CPU time goes to background
+ * work. Comparing the figures of all kinds shows which work that is.
  */
 public final class WorkStats {
 
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
@@ -21,11 +21,11 @@
   // Guards against reverting the configuration: a peer that was partitioned for long sends old
   // changes.
   @Test
-  void neverGoesBackWhenOldChangesArriveLate() {
+  void keepsNewerStateWhenOldChangesArrive() {
     // GIVEN
-    ConfigSnapshot held = ConfigSnapshot.empty().with(List.of(change(1, 1), change(2, 2)));
+    ConfigSnapshot current = ConfigSnapshot.empty().with(List.of(change(1, 1), change(2, 2)));
     // WHEN
-    ConfigSnapshot after = held.with(List.of(change(1, 1)));
+    ConfigSnapshot after = current.with(List.of(change(1, 1)));
     // THEN
     assertThat(after.revision()).isEqualTo(2);
     assertThat(after.team("branch").orElseThrow().weight()).isEqualTo(2);
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void acceptsOneOfTwoOperatorsWhoReadTheSameVersion() {
+  void acceptsOneOfTwoConcurrentChanges() {
     // GIVEN
     long version = apply("branch", team(1), 0, "c1").join().revision();
     // WHEN
@@ -80,7 +80,7 @@
   // Guards against crediting a top-up twice: the change takes effect, but its response is lost, and
   // the operator sends it again with the same change id.
   @Test
-  void acceptsChangeOnceWhenItsAnswerWasLost() {
+  void acceptsChangeOnceWhenItsResponseWasLost() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     table.faults().setFault(Fault.ANSWER_LOST);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void addsEachTopUpOnceByItsId() {
+  void creditsEachTopUpOnceByItsId() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     // WHEN
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void refusesTopUpWhoseIdWasUsedForAnotherSum() {
+  void rejectsTopUpIdReusedWithAnotherAmount() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     var first = apply("b", budget(new TopUp("t1", 500)), -1, "c2").join();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void namesTheFieldThatRefersToNothing() {
+  void reportsFieldThatRefersToMissingResource() {
     // WHEN
     var refused = apply("b", budget(new TopUp("t1", 500)), -1, "c1");
     // THEN
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void refusesToDeleteWhatOthersReferTo() {
+  void rejectsDeletionOfReferencedResource() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     var budget = apply("b", budget(new TopUp("t1", 500)), -1, "c2").join();
--- a/mothrill-core/src/test/java/io/mothrill/core/work/WorkAccountTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/work/WorkStatsTest.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-final class WorkAccountTest {
+final class WorkStatsTest {
 
   private final WorkStats work = new WorkStats();
 
   @Test
-  void keepsKindsApart() {
+  void separatesKinds() {
     // GIVEN
     work.onTurn(WorkKind.STORE, 700);
     work.onTurn(WorkKind.STORE, 300);
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void countsTasksOfTimersAlsoWhenTheyFail() {
+  void measuresFailingTimerTasks() {
     // GIVEN
     ManualTimers timers = new ManualTimers();
     AtomicLong nanos = new AtomicLong();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/EntryInstance.java
@@ -48,7 +48,7 @@
  */
 public final class EntryInstance {
 
-  private static final long STALE_CHECK_MS = 5_000;
+  private static final long IDLE_CONNECTION_CHECK_MS = 5_000;
 
   private final EventLoopGroup group;
   private final MetricRegistry metrics = new MetricRegistry();
@@ -65,7 +65,7 @@
             0, new DefaultThreadFactory(settings.id()), NioIoHandler.newFactory());
     Timers timers = new NettyTimers(group);
     HttpClient http = new HttpClient(group);
-    timers.every(STALE_CHECK_MS, http::closeIdleConnections);
+    timers.every(IDLE_CONNECTION_CHECK_MS, http::closeIdleConnections);
     TableService table =
         new HttpTableService(http, settings.platform(), settings.platformTimeoutMs());
     PeerDispatcher dispatcher = new PeerDispatcher();
@@ -79,7 +79,7 @@
             dispatcher,
             new HttpUpstreamClient(http, timers),
             new UpstreamProbe(group, timers),
-            this::sendReport,
+            this::sendCrashMessage,
             new JsonResources(),
             timers,
             random);
@@ -112,7 +112,7 @@
   }
 
   /** Messages sent before the socket is open are dropped; they are repeated periodically. */
-  private void sendReport(CrashMessage message, List<InstanceRecord> to) {
+  private void sendCrashMessage(CrashMessage message, List<InstanceRecord> to) {
     if (notices != null) {
       notices.send(message, to);
     }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/ServeCommand.java
@@ -20,15 +20,15 @@
     EntryInstance instance = EntryInstance.start(read);
     CountDownLatch done = new CountDownLatch(1);
     AtomicInteger signals = new AtomicInteger();
-    Runnable leave =
+    Runnable drain =
         () -> {
           if (signals.incrementAndGet() > 1) {
             Logger.info("already draining; signal ignored");
           }
           instance.drain().thenRun(done::countDown);
         };
-    Signal.handle(new Signal("TERM"), signal -> leave.run());
-    Signal.handle(new Signal("INT"), signal -> leave.run());
+    Signal.handle(new Signal("TERM"), signal -> drain.run());
+    Signal.handle(new Signal("INT"), signal -> drain.run());
     done.await();
     instance.close();
     return OK;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/TeamKeyCommand.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/cli/TeamKeyCommand.java
@@ -7,7 +7,9 @@
 import java.util.HexFormat;
 import org.kohsuke.args4j.Argument;
 
-/** {@code mothrill team-key}: generates a key for a team's callers and the hash to declare for it. */
+/**
+ * {@code mothrill team-key}: generates a key for a team's callers and the hash to declare for it.
+ */
 public final class TeamKeyCommand implements Command {
 
   private static final int SECRET_BYTES = 24;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
@@ -10,13 +10,15 @@
 /** Explains the outcome of a request from the log lines about it and its instance. */
 final class Explanation {
 
-  /** How long before a request's arrival an instance event may still have influenced its outcome. */
-  private static final Duration RECENT = Duration.ofSeconds(5);
+  /**
+   * How long before a request's arrival an instance event may still have influenced its outcome.
+   */
+  private static final Duration RECENT_WINDOW = Duration.ofSeconds(5);
 
   private final MergedLog log;
 
-  Explanation(MergedLog book) {
-    this.log = book;
+  Explanation(MergedLog log) {
+    this.log = log;
   }
 
   /** Returns the explanation of a request, line by line; empty when no log line is about it. */
@@ -80,32 +82,32 @@
   private Stream<String> instanceContext(LogLine line) {
     Instant arrived = line.at().minusMillis(line.number("tookMs"));
     return Stream.of(
-            storeState(line),
-            recent(line, arrived, "plan in force"),
-            recent(line, arrived, "tokens borrowed"),
-            recent(line, arrived, "spending continues"),
+            storeOutage(line),
+            recentEvent(line, arrived, "plan in force"),
+            recentEvent(line, arrived, "tokens borrowed"),
+            recentEvent(line, arrived, "spending continues"),
             leaving(line))
         .flatMap(Optional::stream);
   }
 
-  private Optional<String> storeState(LogLine line) {
-    return log.before(line)
+  private Optional<String> storeOutage(LogLine line) {
+    return log.linesUpTo(line)
         .filter(other -> other.messageStartsWith("store "))
         .findFirst()
         .filter(other -> other.messageStartsWith("store lost"))
         .map(other -> "  meanwhile: out of reach of the store " + since(other, line));
   }
 
-  private Optional<String> recent(LogLine line, Instant arrived, String beginning) {
-    return log.before(line)
-        .filter(other -> other.messageStartsWith(beginning))
+  private Optional<String> recentEvent(LogLine line, Instant arrived, String prefix) {
+    return log.linesUpTo(line)
+        .filter(other -> other.messageStartsWith(prefix))
         .findFirst()
-        .filter(other -> other.at().isAfter(arrived.minus(RECENT)))
+        .filter(other -> other.at().isAfter(arrived.minus(RECENT_WINDOW)))
         .map(other -> "  meanwhile: " + other.text("message") + " " + since(other, line));
   }
 
   private Optional<String> leaving(LogLine line) {
-    return log.before(line)
+    return log.linesUpTo(line)
         .filter(other -> other.messageStartsWith("leaving") || other.isEvent("started"))
         .findFirst()
         .filter(other -> other.messageStartsWith("leaving"))
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/LogLine.java
@@ -34,7 +34,9 @@
     return isEvent("request") && text("id").equals(id);
   }
 
-  /** Checks whether the line is about upstreams that ended under a request with this fingerprint. */
+  /**
+   * Checks whether the line is about upstreams that ended under a request with this fingerprint.
+   */
   boolean isAboutCrashes(String fingerprint) {
     boolean crash =
         messageStartsWith("upstream ended under request")
@@ -43,8 +45,8 @@
     return crash && text("message").contains("fingerprint=" + fingerprint);
   }
 
-  boolean messageStartsWith(String beginning) {
-    return text("message").startsWith(beginning);
+  boolean messageStartsWith(String prefix) {
+    return text("message").startsWith(prefix);
   }
 
   String text(String field) {
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/MergedLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/MergedLog.java
@@ -32,7 +32,7 @@
   }
 
   /** Returns the lines that the same instance wrote up to a line, newest first. */
-  Stream<LogLine> before(LogLine line) {
+  Stream<LogLine> linesUpTo(LogLine line) {
     return lines.stream()
         .filter(other -> other.source().equals(line.source()))
         .filter(other -> !other.at().isAfter(line.at()))
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardGauges.java
@@ -26,7 +26,7 @@
     this.metrics = metrics;
   }
 
-  void showView(
+  void registerView(
       PublishedValue<ForwardingPlan> plan,
       PublishedValue<UpstreamList> upstreams,
       StatePoller follower) {
@@ -36,13 +36,13 @@
     metrics.gauge("view.upstreamsAgeMs", () -> follower::upstreamsAgeMs);
   }
 
-  void showEdge(ForwardServer edge) {
+  void registerServer(ForwardServer edge) {
     metrics.gauge("edge.underWayCount", () -> edge::inFlightCount);
     metrics.gauge("edge.connectionCount", () -> edge::connectionCount);
   }
 
   /** Registers the budget gauges of each team, including teams that are added later. */
-  void showSpending(PublishedValue<ForwardingPlan> plan, SpendingController spending) {
+  void registerSpending(PublishedValue<ForwardingPlan> plan, SpendingController spending) {
     metrics.gauge("spending.instanceCount", () -> spending::instanceCount);
     metrics.gauge("spending.renewalAgeMs", () -> spending::renewalAgeMs);
     metrics.gauge("spending.lostTokens", () -> spending::lostTokens);
@@ -53,10 +53,10 @@
         newest ->
             newest.teams().stream()
                 .filter(team -> team.prepaidTokens().isPresent())
-                .forEach(team -> showTeam(team, plan, spending)));
+                .forEach(team -> registerTeam(team, plan, spending)));
   }
 
-  private void showTeam(
+  private void registerTeam(
       TeamPlan team, PublishedValue<ForwardingPlan> plan, SpendingController spending) {
     String name = team.name();
     metrics.gauge("spending.heldTokens." + name, () -> () -> spending.heldTokens(name));
@@ -65,8 +65,11 @@
         () -> () -> spending.unassignedTokens(plan.read().findTeam(name).orElse(team)));
   }
 
-  /** Registers gauges for upstreams with restricted traffic and for the reports exchanged about them. */
-  void showUpstreams(PublishedValue<Set<String>> evacuatedDomains, UpstreamSelection choice) {
+  /**
+   * Registers gauges for upstreams with restricted traffic and for the reports exchanged about
+   * them.
+   */
+  void registerUpstreams(PublishedValue<Set<String>> evacuatedDomains, UpstreamSelection choice) {
     metrics.gauge("upstreams.evacuatedDomainCount", () -> () -> evacuatedDomains.read().size());
     metrics.gauge("upstreams.warmingCount", () -> choice.warming()::warmingCount);
     metrics.gauge("upstreams.limitedCount", () -> choice.limits()::limitedCount);
@@ -80,7 +83,7 @@
   }
 
   /** Registers gauges for requests suspected of crashing upstreams and the messages about them. */
-  void showCrashes(CrashGuard crashes) {
+  void registerCrashes(CrashGuard crashes) {
     metrics.gauge("crashes.suspectCount", () -> () -> crashes.counts().suspects());
     metrics.gauge("crashes.quarantinedCount", () -> () -> crashes.counts().quarantined());
     metrics.gauge("crashes.sentCount", () -> () -> crashes.counts().sent());
@@ -89,12 +92,12 @@
   }
 
   /** Registers gauges for the work of the event loops and the CPU time of the threads. */
-  void showWork(WorkStats work) {
-    Arrays.stream(WorkKind.values()).forEach(kind -> showWork("work." + kind, kind, work));
+  void registerWork(WorkStats work) {
+    Arrays.stream(WorkKind.values()).forEach(kind -> registerWork("work." + kind, kind, work));
     metrics.gauge("work.threadCpuMs", () -> ThreadCpuTime::totalCpuMs);
   }
 
-  private void showWork(String name, WorkKind kind, WorkStats work) {
+  private void registerWork(String name, WorkKind kind, WorkStats work) {
     metrics.gauge(name + ".turnCount", () -> () -> work.totals(kind).turnCount());
     metrics.gauge(name + ".busyMs", () -> () -> work.totals(kind).busyNanos() / NANOS_PER_MS);
     metrics.gauge(name + ".openedCount", () -> () -> work.totals(kind).openedCount());
@@ -102,7 +105,7 @@
     metrics.gauge(name + ".sentBytes", () -> () -> work.totals(kind).sentBytes());
   }
 
-  void showLog() {
+  void registerLog() {
     metrics.gauge("log.droppedCount", () -> JsonLinesWriter::droppedCount);
   }
 }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -50,17 +50,23 @@
  */
 public final class ForwardInstance {
 
-  /** Longer than two failed readiness probes at one per second, after which callers are routed elsewhere. */
+  /**
+   * Longer than two failed readiness probes at one per second, after which callers are routed
+   * elsewhere.
+   */
   private static final long MIN_DRAIN_MS = 2_600;
 
-  private static final long LEAVE_CHECK_MS = 100;
+  private static final long DRAIN_CHECK_MS = 100;
 
   /**
-   * How often the state of delisted upstreams without requests in flight is removed. Requests last seconds, and the state of an upstream takes a few hundred bytes.
+   * How often the state of delisted upstreams without requests in flight is removed. Requests last
+   * seconds, and the state of an upstream takes a few hundred bytes.
    */
   private static final long PRUNE_INTERVAL_MS = 10_000;
 
-  /** The interval of log lines about the work of the event loops; each takes a few hundred bytes. */
+  /**
+   * The interval of log lines about the work of the event loops; each takes a few hundred bytes.
+   */
   private static final long WORK_LOG_INTERVAL_MS = 10_000;
 
   /** The time limit for returning unspent tokens after the last request. */
@@ -129,8 +135,8 @@
             settings,
             new UpstreamSelection.View(plan, evacuatedDomains, upstreams),
             fleetView(),
-            this::sendFate,
-            this::sendLimit,
+            this::sendStatusReport,
+            this::sendRateLimitReport,
             reach::isReachable,
             timers,
             random);
@@ -138,7 +144,7 @@
         new CrashGuard(
             self,
             spending::peers,
-            this::sendReport,
+            this::sendCrashMessage,
             ports.table(),
             ports.storeClock(),
             choice.reportingEnds(new UpstreamProbe(group, timers)),
@@ -197,17 +203,17 @@
             settings.metricsPort(),
             new ProbeService(this::unreadyReason, metrics));
     ForwardGauges gauges = new ForwardGauges(metrics);
-    gauges.showEdge(edge);
-    gauges.showSpending(plan, spending);
-    gauges.showCrashes(crashes);
-    gauges.showUpstreams(evacuatedDomains, choice);
-    gauges.showLog();
-    gauges.showWork(ports.work());
+    gauges.registerServer(edge);
+    gauges.registerSpending(plan, spending);
+    gauges.registerCrashes(crashes);
+    gauges.registerUpstreams(evacuatedDomains, choice);
+    gauges.registerLog();
+    gauges.registerWork(ports.work());
     timers.every(PRUNE_INTERVAL_MS, () -> choice.loads().retain(upstreams.read()));
     timers.every(WORK_LOG_INTERVAL_MS, () -> WorkLog.write(ports.work()));
     StatePoller follower =
         new StatePoller(ports.state(), plan, evacuatedDomains, upstreams, timers, settings.view());
-    gauges.showView(plan, upstreams, follower);
+    gauges.registerView(plan, upstreams, follower);
   }
 
   private FleetView fleetView() {
@@ -224,15 +230,15 @@
     };
   }
 
-  private void sendFate(UpstreamStatusReport report, List<InstanceRecord> to) {
+  private void sendStatusReport(UpstreamStatusReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
-  private void sendLimit(RateLimitReport report, List<InstanceRecord> to) {
+  private void sendRateLimitReport(RateLimitReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
-  private void sendReport(CrashMessage message, List<InstanceRecord> to) {
+  private void sendCrashMessage(CrashMessage message, List<InstanceRecord> to) {
     notices.send(message, to);
   }
 
@@ -256,7 +262,9 @@
   /**
    * Drains the instance without aborting requests.
    *
-   * <p>The readiness probe fails immediately. New requests are served until callers have been routed elsewhere, and refused afterwards. Requests in flight continue until they end or the drain timeout expires.
+   * <p>The readiness probe fails immediately. New requests are served until callers have been
+   * routed elsewhere, and refused afterwards. Requests in flight continue until they end or the
+   * drain timeout expires.
    *
    * @return a future that completes when the process may exit
    */
@@ -265,15 +273,15 @@
       leaving = true;
       Logger.info("leaving underWay={}", edge.inFlightCount());
       edge.startDraining();
-      long beganMs = timers.nowMs();
+      long drainStartMs = timers.nowMs();
       Subscription[] check = new Subscription[1];
-      check[0] = timers.every(LEAVE_CHECK_MS, () -> checkDrained(beganMs, check[0]));
+      check[0] = timers.every(DRAIN_CHECK_MS, () -> checkDrained(drainStartMs, check[0]));
     }
     return drainFuture;
   }
 
-  private void checkDrained(long beganMs, Subscription check) {
-    long sinceMs = timers.nowMs() - beganMs;
+  private void checkDrained(long drainStartMs, Subscription check) {
+    long sinceMs = timers.nowMs() - drainStartMs;
     if (sinceMs >= MIN_DRAIN_MS) {
       edge.refuseNew();
     }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/Readiness.java
@@ -10,7 +10,10 @@
 /** Tracks whether a newly started process has the state it needs to handle requests. */
 final class Readiness {
 
-  /** The maximum wait for the first tokens. Many requests need none, so a longer wait would only delay them. */
+  /**
+   * The maximum wait for the first tokens. Many requests need none, so a longer wait would only
+   * delay them.
+   */
   private static final long FIRST_ROW_TIMEOUT_MS = 2_000;
 
   private final PublishedValue<ForwardingPlan> plan;
@@ -31,7 +34,9 @@
     this.startedMs = timers.nowMs();
   }
 
-  /** Returns a future that completes when the first plan and the first list of upstreams are known. */
+  /**
+   * Returns a future that completes when the first plan and the first list of upstreams are known.
+   */
   CompletableFuture<Void> initialState() {
     CompletableFuture<Void> planKnown = new CompletableFuture<>();
     CompletableFuture<Void> upstreamsKnown = new CompletableFuture<>();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
@@ -21,9 +21,9 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest request) {
     return CompletableFuture.completedFuture(
-        input.path().equals(path)
+        request.path().equals(path)
             ? ReadinessResponse.of(unreadyReason.get())
             : HttpReply.text(NOT_FOUND, "not found\n"));
   }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/RequestLog.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/RequestLog.java
@@ -12,16 +12,22 @@
 /**
  * Counts the outcomes of requests and logs how they were decided.
  *
- * <p>Failed, refused and late requests are logged with a high rate limit; successful ones are only sampled.
+ * <p>Failed, refused and late requests are logged with a high rate limit; successful ones are only
+ * sampled.
  */
 final class RequestLog implements ForwardedRequestLog {
 
   private static final String SERVED = "served";
 
-  /** The maximum lines per second about failed, refused or late requests; each takes a few hundred bytes. */
+  /**
+   * The maximum lines per second about failed, refused or late requests; each takes a few hundred
+   * bytes.
+   */
   private static final int FAILURE_LINES_PER_S = 100;
 
-  /** The maximum lines per second about successful requests, which serve as samples for comparison. */
+  /**
+   * The maximum lines per second about successful requests, which serve as samples for comparison.
+   */
   private static final int SERVED_LINES_PER_S = 2;
 
   private final MetricRegistry metrics;
@@ -35,61 +41,61 @@
   }
 
   @Override
-  public void onEnded(Entry story) {
-    metrics.counter("forward." + story.outcome()).inc();
-    metrics.histogram("forward.paidMs").update(story.reservationMs());
-    if (story.attempts().size() > 1) {
-      metrics.counter("forward.offeredAgain").inc(story.attempts().size() - 1);
+  public void onEnded(Entry entry) {
+    metrics.counter("forward." + entry.outcome()).inc();
+    metrics.histogram("forward.paidMs").update(entry.reservationMs());
+    if (entry.attempts().size() > 1) {
+      metrics.counter("forward.offeredAgain").inc(entry.attempts().size() - 1);
     }
-    if (story.missedTarget()) {
+    if (entry.missedTarget()) {
       metrics.counter("forward.late").inc();
     }
-    if (story.firstByteMs() >= 0) {
-      metrics.histogram("forward.firstMs").update(story.firstByteMs());
+    if (entry.firstByteMs() >= 0) {
+      metrics.histogram("forward.firstMs").update(entry.firstByteMs());
     }
-    boolean failedOrLate = !story.outcome().equals(SERVED) || story.missedTarget();
+    boolean failedOrLate = !entry.outcome().equals(SERVED) || entry.missedTarget();
     LogRateLimiter limit = failedOrLate ? failureLines : servedLines;
     if (limit.tryAcquire(timers.nowMs())) {
-      write(story);
+      write(entry);
     }
   }
 
-  private static void write(Entry story) {
+  private static void write(Entry entry) {
     Logger.info(
         LogFields.event("request")
-            .with("id", story.requestId())
-            .with("outcome", story.missedTarget() ? story.outcome() + "_late" : story.outcome())
-            .with("status", story.status())
-            .with("reason", story.reason())
-            .with("route", story.route())
-            .with("team", story.team())
-            .with("offers", offers(story))
-            .with("mostTokens", story.tokens().max())
-            .with("owedTokens", story.tokens().charged())
-            .with("paidMs", story.reservationMs())
-            .with("firstMs", story.firstByteMs())
-            .with("aimMs", story.targetLatencyMs())
-            .with("tookMs", story.tookMs())
-            .with("plan", story.planVersion())
-            .with("fingerprint", story.fingerprint().map(Fingerprint::toString).orElse(""))
+            .with("id", entry.requestId())
+            .with("outcome", entry.missedTarget() ? entry.outcome() + "_late" : entry.outcome())
+            .with("status", entry.status())
+            .with("reason", entry.reason())
+            .with("route", entry.route())
+            .with("team", entry.team())
+            .with("offers", attempts(entry))
+            .with("mostTokens", entry.tokens().max())
+            .with("owedTokens", entry.tokens().charged())
+            .with("paidMs", entry.reservationMs())
+            .with("firstMs", entry.firstByteMs())
+            .with("aimMs", entry.targetLatencyMs())
+            .with("tookMs", entry.tookMs())
+            .with("plan", entry.planVersion())
+            .with("fingerprint", entry.fingerprint().map(Fingerprint::toString).orElse(""))
             .toString());
   }
 
-  private static String offers(Entry story) {
-    return story.attempts().stream()
+  private static String attempts(Entry entry) {
+    return entry.attempts().stream()
         .map(
-            offer ->
-                offer.upstreamId()
+            attempt ->
+                attempt.upstreamId()
                     + " at "
-                    + offer.atMs()
+                    + attempt.atMs()
                     + " ms, under way "
-                    + offer.inFlightCount()
+                    + attempt.inFlightCount()
                     + " of "
-                    + offer.estimatedCount()
+                    + attempt.estimatedCount()
                     + ", unread "
-                    + offer.pendingPrefillTokens()
+                    + attempt.pendingPrefillTokens()
                     + ": "
-                    + offer.result())
+                    + attempt.result())
         .collect(Collectors.joining("; "));
   }
 }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/JsonLinesWriter.java
@@ -21,7 +21,9 @@
 /**
  * Writes each log entry to standard output as a JSON object on one line.
  *
- * <p>If the reader of standard output stops reading, writing blocks, and with it every thread that logs and all requests. Entries therefore go through a bounded queue to a separate thread. Entries that do not fit are dropped and counted, and the count is written when there is room again.
+ * <p>If the reader of standard output stops reading, writing blocks, and with it every thread that
+ * logs and all requests. Entries therefore go through a bounded queue to a separate thread. Entries
+ * that do not fit are dropped and counted, and the count is written when there is room again.
  *
  * <pre>{@code
  * writer = json lines
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/log/package-info.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/log/package-info.java
@@ -1,2 +1,5 @@
-/** Structured logs on standard output: one JSON object per line, written through a bounded queue without blocking. */
+/**
+ * Structured logs on standard output: one JSON object per line, written through a bounded queue
+ * without blocking.
+ */
 package io.mothrill.daemon.log;
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/settings/SettingsReader.java
@@ -15,7 +15,9 @@
 /**
  * Parses the settings of an entry instance.
  *
- * <p>All settings except the instance's name, its domain, its ports and the platform's address have defaults. Unknown fields, wrong types and values out of range are rejected with the path of the field.
+ * <p>All settings except the instance's name, its domain, its ports and the platform's address have
+ * defaults. Unknown fields, wrong types and values out of range are rejected with the path of the
+ * field.
  */
 public final class SettingsReader {
 
--- a/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
+++ b/mothrill-daemon/src/test/java/io/mothrill/daemon/explain/ExplanationTest.java
@@ -36,28 +36,29 @@
   // A caller got 503 for lack of tokens. The store had been unreachable for the instance for five
   // seconds, so no tokens could be transferred to it.
   @Test
-  void tellsThatTheInstanceWasOutOfReachOfTheStore() throws IOException {
-    String story = String.join("\n", explain("a1", REGAINED, REFUSED, LOST));
+  void reportsThatTheStoreWasUnreachable() throws IOException {
+    String explanation = String.join("\n", explain("a1", REGAINED, REFUSED, LOST));
 
-    assertThat(story).contains("a1 at edge-1.log: tokens_elsewhere, status 503 after 260 ms");
-    assertThat(story).contains("reason given: spent 5 of 6");
-    assertThat(story).contains("out of reach of the store (5000 ms before its end)");
+    assertThat(explanation).contains("a1 at edge-1.log: tokens_elsewhere, status 503 after 260 ms");
+    assertThat(explanation).contains("reason given: spent 5 of 6");
+    assertThat(explanation).contains("out of reach of the store (5000 ms before its end)");
   }
 
   @Test
-  void tellsWhatWaitedAtTheUpstreamOfLateRequest() throws IOException {
-    String story = String.join("\n", explain("a2", LOST, REGAINED, LATE));
+  void reportsLoadOfTheUpstreamOfLateRequest() throws IOException {
+    String explanation = String.join("\n", explain("a2", LOST, REGAINED, LATE));
 
-    assertThat(story).contains("offered to i-1 at 0 ms, under way 9 of 12, unread 30000: served");
-    assertThat(story).contains("first byte after 900 ms");
-    assertThat(story).doesNotContain("out of reach");
+    assertThat(explanation)
+        .contains("offered to i-1 at 0 ms, under way 9 of 12, unread 30000: served");
+    assertThat(explanation).contains("first byte after 900 ms");
+    assertThat(explanation).doesNotContain("out of reach");
   }
 
   // A caller got 503 immediately, because identical requests had crashed upstreams through other
   // instances. The explanation lists the crashes with their age and the instance that reported
   // them.
   @Test
-  void tellsWhichUpstreamsEndedUnderTheSameRequest() throws IOException {
+  void reportsUpstreamsThatEndedUnderTheSameRequest() throws IOException {
     String ended =
         "{\"time\":\"2026-05-01T10:00:01Z\",\"level\":\"INFO\",\"message\":\"upstream ended under"
             + " request fingerprint=ab12 upstream=i-1@0 count=3 agoMs=2\"}";
@@ -67,27 +68,27 @@
             + "\"reason\":\"i-1@0 ended 4002 ms ago, seen by edge-2\"}";
     String other = ended.replace("ab12", "cd34");
 
-    String story = String.join("\n", explain("a4", ended, other, refused));
+    String explanation = String.join("\n", explain("a4", ended, other, refused));
 
-    assertThat(story).contains("upstreams ended under requests with the same team");
-    assertThat(story).contains("reason given: i-1@0 ended 4002 ms ago, seen by edge-2");
-    assertThat(story).contains("fingerprint=ab12 upstream=i-1@0 count=3");
-    assertThat(story).doesNotContain("cd34");
+    assertThat(explanation).contains("upstreams ended under requests with the same team");
+    assertThat(explanation).contains("reason given: i-1@0 ended 4002 ms ago, seen by edge-2");
+    assertThat(explanation).contains("fingerprint=ab12 upstream=i-1@0 count=3");
+    assertThat(explanation).doesNotContain("cd34");
   }
 
   @Test
-  void hasNoStoryOfRequestThatNoLineIsAbout() throws IOException {
+  void explainsNothingWithoutLinesAboutTheRequest() throws IOException {
     assertThat(explain("a3", LOST, REFUSED)).isEmpty();
   }
 
   @Test
-  void countsLinesOfOthers() throws IOException {
+  void countsUnreadableLines() throws IOException {
     Path log = folder.resolve("mixed.log");
     Files.write(log, List.of("warning: something else", "", LOST));
 
-    MergedLog book = MergedLog.read(List.of(log));
+    MergedLog mergedLog = MergedLog.read(List.of(log));
 
-    assertThat(book.unreadableCount()).isEqualTo(1);
-    assertThat(book.lines()).hasSize(1);
+    assertThat(mergedLog.unreadableCount()).isEqualTo(1);
+    assertThat(mergedLog.lines()).hasSize(1);
   }
 }
--- a/mothrill-daemon/src/test/java/io/mothrill/daemon/settings/SettingsReaderTest.java
+++ b/mothrill-daemon/src/test/java/io/mothrill/daemon/settings/SettingsReaderTest.java
@@ -18,12 +18,12 @@
       """;
 
   @Test
-  void fillsInTheStandardSettings() {
+  void usesDefaultsForMissingFields() {
     assertThat(SettingsReader.read(Json.read(MINIMAL)).node()).isEqualTo(NodeSettings.standard());
   }
 
   @Test
-  void namesUnknownMistypedMissingAndOutOfRangeFields() {
+  void reportsUnknownMistypedMissingAndOutOfRangeFields() {
     // GIVEN
     String text =
         """
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void refusesMarginThatLeavesNothingOfTheLease() {
+  void rejectsMarginNotBelowLease() {
     // GIVEN
     String text =
         MINIMAL.strip().replaceFirst("}$", ", \"budgets\": {\"leaseMs\": 5, \"marginMs\": 9}}");
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerHandler.java
@@ -184,9 +184,12 @@
   }
 
   /**
-   * Pauses reading from the upstream while the caller does not keep up, and closes the connection after a timeout.
+   * Pauses reading from the upstream while the caller does not keep up, and closes the connection
+   * after a timeout.
    *
-   * <p>Without this, the response to a caller that stops reading would accumulate in memory and occupy an upstream slot. The upstream is therefore read no faster than the caller reads, and only for a bounded time.
+   * <p>Without this, the response to a caller that stops reading would accumulate in memory and
+   * occupy an upstream slot. The upstream is therefore read no faster than the caller reads, and
+   * only for a bounded time.
    */
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext ctx) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequestReader.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/CallerRequestReader.java
@@ -93,7 +93,10 @@
         TRUNCATED_STREAM_END);
   }
 
-  /** Returns an upper bound of the prompt's tokens: no tokenizer produces more tokens than the text has bytes. */
+  /**
+   * Returns an upper bound of the prompt's tokens: no tokenizer produces more tokens than the text
+   * has bytes.
+   */
   private static long maxPromptTokens(JsonNode messages) {
     return Json.bytes(messages).length + (long) OVERHEAD_TOKENS_PER_MESSAGE * messages.size();
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
@@ -32,10 +32,10 @@
   private String requestId = "";
   private String key = "";
 
-  NettyCallerStream(Channel channel, boolean keepAlive, Runnable onAnswered) {
+  NettyCallerStream(Channel channel, boolean keepAlive, Runnable onResponseEnd) {
     this.channel = channel;
     this.keepAlive = keepAlive;
-    this.onResponseEnd = onAnswered;
+    this.onResponseEnd = onResponseEnd;
   }
 
   @Override
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ClientHandler.java
@@ -31,10 +31,11 @@
   /**
    * Returns the handler of a connection, or empty when the connection is closed.
    *
-   * <p>The pipeline of a closed channel has no handlers. Dereferencing the missing handler would abort the cancellation of a call halfway, and its caller would never get a response.
+   * <p>The pipeline of a closed channel has no handlers. Dereferencing the missing handler would
+   * abort the cancellation of a call halfway, and its caller would never get a response.
    */
-  static Optional<ClientHandler> find(Channel channel) {
-    return Optional.ofNullable((ClientHandler) channel.pipeline().get(NAME));
+  static Optional<ClientHandler> find(Channel connection) {
+    return Optional.ofNullable((ClientHandler) connection.pipeline().get(NAME));
   }
 
   @Override
@@ -57,7 +58,9 @@
   /**
    * Schedules the check that fails a call on a silent connection.
    *
-   * <p>A middlebox may have lost the state of the connection. The call would then wait forever, although new connections work, so only this connection is closed. Silence does not count while reading is paused for a slow caller.
+   * <p>A middlebox may have lost the state of the connection. The call would then wait forever,
+   * although new connections work, so only this connection is closed. Silence does not count while
+   * reading is paused for a slow caller.
    */
   private void scheduleWatchdog(long delayMs) {
     watchdog =
@@ -94,7 +97,7 @@
     if (message instanceof HttpResponse head) {
       keepAlive = HttpUtil.isKeepAlive(head);
       if (!sink.onHead(head)) {
-        abandon();
+        abort();
         return;
       }
     }
@@ -128,7 +131,7 @@
   }
 
   /** Closes the connection without notifying the sink. */
-  void abandon() {
+  void abort() {
     context
         .executor()
         .execute(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HeaderNumbers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HeaderNumbers.java
@@ -12,7 +12,10 @@
 
   private static final int MS_PER_S = 1_000;
 
-  /** One hour. Longer values are ignored: a server that asks for more is gone rather than overloaded. */
+  /**
+   * One hour. Longer values are ignored: a server that asks for more is gone rather than
+   * overloaded.
+   */
   private static final int MAX_RETRY_AFTER_S = 3_600;
 
   private HeaderNumbers() {}
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpCall.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpCall.java
@@ -7,7 +7,8 @@
  * An HTTP request to be sent by the client.
  *
  * @param to the server
- * @param pool the name of the connection pool, so that different classes of calls do not share connections
+ * @param pool the name of the connection pool, so that different classes of calls do not share
+ *     connections
  * @param method the method
  * @param path the path with its query
  * @param headers the headers; {@code content-length} and {@code host} are added
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpClient.java
@@ -25,7 +25,9 @@
 /**
  * An HTTP client with pooled connections that streams responses.
  *
- * <p>A connection carries one call at a time and is returned to its pool only after a complete response with no data following it. It is closed after a cancellation, a timeout, a failure or surplus data, so a late response can never be mistaken for the response to a later call.
+ * <p>A connection carries one call at a time and is returned to its pool only after a complete
+ * response with no data following it. It is closed after a cancellation, a timeout, a failure or
+ * surplus data, so a late response can never be mistaken for the response to a later call.
  */
 public final class HttpClient {
 
@@ -51,7 +53,8 @@
    * Creates the client.
    *
    * @param group the event loops of its connections
-   * @param leadingHandlers creates the handlers that precede all others in the pipeline of a connection
+   * @param leadingHandlers creates the handlers that precede all others in the pipeline of a
+   *     connection
    */
   public HttpClient(EventLoopGroup group, Supplier<List<ChannelHandler>> leadingHandlers) {
     this.bootstrap =
@@ -86,7 +89,7 @@
       cancelled = true;
       Channel used = channel.get();
       if (used != null) {
-        ClientHandler.find(used).ifPresent(ClientHandler::abandon);
+        ClientHandler.find(used).ifPresent(ClientHandler::abort);
       }
     }
 
@@ -166,7 +169,7 @@
   }
 
   private void start(
-      Channel channel, HttpCall call, HttpSink sink, Handle handle, Runnable ifClosed) {
+      Channel channel, HttpCall call, HttpSink sink, Handle handle, Runnable onClosed) {
     handle.use(channel);
     if (handle.cancelled) {
       channel.close();
@@ -177,7 +180,7 @@
         .execute(
             () -> {
               if (!channel.isActive()) {
-                ifClosed.run();
+                onClosed.run();
                 return;
               }
               ClientHandler.find(channel)
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpService.java
@@ -9,8 +9,8 @@
   /**
    * Handles a request.
    *
-   * @param input the request
+   * @param request the request
    * @return the response; a failed future results in status 400 for invalid input and 500 otherwise
    */
-  CompletableFuture<HttpReply> serve(HttpServerRequest input);
+  CompletableFuture<HttpReply> serve(HttpServerRequest request);
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/ResponseAggregator.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/ResponseAggregator.java
@@ -38,11 +38,11 @@
       HttpHeaders headers,
       byte[] requestBody,
       long timeoutMs) {
-    ResponseAggregator whole = new ResponseAggregator();
+    ResponseAggregator aggregator = new ResponseAggregator();
     var unused =
         client.send(
-            new HttpCall(to, "", method, path, headers, requestBody, false, timeoutMs), whole);
-    return whole.reply;
+            new HttpCall(to, "", method, path, headers, requestBody, false, timeoutMs), aggregator);
+    return aggregator.reply;
   }
 
   private ResponseAggregator() {}
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/Json.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/Json.java
@@ -18,11 +18,16 @@
 /**
  * Parses and serializes JSON trees.
  *
- * <p>Trees are built from and written as a token stream, without an {@code ObjectMapper}: a mapper initializes calendars and locales that trees do not need. That would delay process start by about 200 ms, during which callers wait.
+ * <p>Trees are built from and written as a token stream, without an {@code ObjectMapper}: a mapper
+ * initializes calendars and locales that trees do not need. That would delay process start by about
+ * 200 ms, during which callers wait.
  */
 public final class Json {
 
-  /** Deeper than any expected document, and shallow enough for the small stacks of event loop threads. */
+  /**
+   * Deeper than any expected document, and shallow enough for the small stacks of event loop
+   * threads.
+   */
   private static final int MAX_DEPTH = 100;
 
   private static final JsonFactory FACTORY =
@@ -42,7 +47,7 @@
    */
   public static JsonNode read(byte[] bytes) {
     try (JsonParser parser = FACTORY.createParser(bytes)) {
-      return checked(JsonTrees.readWhole(parser, NODES));
+      return checked(JsonTrees.readSingleValue(parser, NODES));
     } catch (JsonProcessingException ex) {
       throw InvalidInputException.of(FieldError.refused("$", "is not JSON: " + where(ex)));
     } catch (IOException ex) {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonFields.java
@@ -26,7 +26,7 @@
   private final JsonNode node;
   private final String path;
   private final List<FieldError> errors;
-  private final Set<String> known = new HashSet<>();
+  private final Set<String> knownNames = new HashSet<>();
 
   private JsonFields(JsonNode node, String path, List<FieldError> errors) {
     this.node = node;
@@ -53,7 +53,7 @@
   }
 
   private Optional<JsonNode> find(String name) {
-    known.add(name);
+    knownNames.add(name);
     return Optional.ofNullable(node.get(name)).filter(value -> !value.isNull());
   }
 
@@ -89,7 +89,7 @@
    */
   public String text(String name, String fallback) {
     return find(name)
-        .map(value -> value.isTextual() ? value.asText() : wrong(name, "a text", fallback))
+        .map(value -> value.isTextual() ? value.asText() : rejectType(name, "a text", fallback))
         .orElse(fallback);
   }
 
@@ -149,7 +149,7 @@
 
   private long checkedNumber(String name, JsonNode value, long min, long max) {
     if (!value.isIntegralNumber() || !value.canConvertToLong()) {
-      return wrong(name, "a whole number", min);
+      return rejectType(name, "a whole number", min);
     }
     long number = value.asLong();
     if (number < min || number > max) {
@@ -169,7 +169,8 @@
   public boolean flag(String name, boolean fallback) {
     return find(name)
         .map(
-            value -> value.isBoolean() ? value.asBoolean() : wrong(name, "true or false", fallback))
+            value ->
+                value.isBoolean() ? value.asBoolean() : rejectType(name, "true or false", fallback))
         .orElse(fallback);
   }
 
@@ -177,14 +178,14 @@
    * Reads an optional string out of a fixed set.
    *
    * @param name the field
-   * @param words the allowed values
+   * @param values the allowed values
    * @param fallback the value when the field is absent
    * @return the value
    */
-  public String choice(String name, List<String> words, String fallback) {
+  public String choice(String name, List<String> values, String fallback) {
     String value = text(name, fallback);
-    if (!words.contains(value)) {
-      errors.add(FieldError.refused(pathOf(name), "must be one of " + String.join(", ", words)));
+    if (!values.contains(value)) {
+      errors.add(FieldError.refused(pathOf(name), "must be one of " + String.join(", ", values)));
       return fallback;
     }
     return value;
@@ -198,7 +199,7 @@
    */
   public List<String> texts(String name) {
     List<String> texts = new ArrayList<>();
-    eachOf(name)
+    elementsOf(name)
         .forEach(
             element -> {
               if (element.value().isTextual()) {
@@ -220,7 +221,7 @@
    */
   public <T> List<T> objects(String name, Function<JsonFields, T> reader) {
     List<T> read = new ArrayList<>();
-    eachOf(name)
+    elementsOf(name)
         .forEach(
             element -> {
               JsonFields fields = new JsonFields(element.value(), element.path(), errors);
@@ -232,11 +233,11 @@
 
   private record Element(JsonNode value, String path) {}
 
-  private List<Element> eachOf(String name) {
+  private List<Element> elementsOf(String name) {
     List<Element> elements = new ArrayList<>();
     Optional<JsonNode> list = find(name);
     if (list.isPresent() && !list.get().isArray()) {
-      return wrong(name, "a list", elements);
+      return rejectType(name, "a list", elements);
     }
     list.ifPresent(
         array -> {
@@ -255,7 +256,7 @@
    */
   public List<JsonNode> lenientObjects(String name) {
     List<JsonNode> read = new ArrayList<>();
-    eachOf(name)
+    elementsOf(name)
         .forEach(
             element -> {
               read.add(element.value());
@@ -316,13 +317,13 @@
     node.fieldNames()
         .forEachRemaining(
             name -> {
-              if (!known.contains(name)) {
+              if (!knownNames.contains(name)) {
                 errors.add(FieldError.unknown(pathOf(name)));
               }
             });
   }
 
-  private <T> T wrong(String name, String expected, T fallback) {
+  private <T> T rejectType(String name, String expected, T fallback) {
     errors.add(FieldError.wrongType(pathOf(name), expected));
     return fallback;
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
@@ -18,7 +18,7 @@
   private JsonTrees() {}
 
   /** Reads one value and checks that nothing follows it; returns null for empty input. */
-  static JsonNode readWhole(JsonParser parser, JsonNodeFactory nodes) throws IOException {
+  static JsonNode readSingleValue(JsonParser parser, JsonNodeFactory nodes) throws IOException {
     if (parser.nextToken() == null) {
       return null;
     }
@@ -34,7 +34,7 @@
       case START_OBJECT -> readObject(parser, nodes);
       case START_ARRAY -> readArray(parser, nodes);
       case VALUE_STRING -> nodes.textNode(parser.getText());
-      case VALUE_NUMBER_INT -> readWholeNumber(parser, nodes);
+      case VALUE_NUMBER_INT -> readInteger(parser, nodes);
       case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDoubleValue());
       case VALUE_TRUE -> nodes.booleanNode(true);
       case VALUE_FALSE -> nodes.booleanNode(false);
@@ -61,8 +61,7 @@
     return array;
   }
 
-  private static JsonNode readWholeNumber(JsonParser parser, JsonNodeFactory nodes)
-      throws IOException {
+  private static JsonNode readInteger(JsonParser parser, JsonNodeFactory nodes) throws IOException {
     return switch (parser.getNumberType()) {
       case INT -> nodes.numberNode(parser.getIntValue());
       case LONG -> nodes.numberNode(parser.getLongValue());
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
@@ -30,7 +30,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves operators: {@code /apis/v1/{kind}/{name}} declares, reads and deletes resources, {@code /apis/v1/changes} watches changes, and {@code /apis/v1/config} and {@code /apis/v1/decisions} report the state of this instance.
+ * Serves operators: {@code /apis/v1/{kind}/{name}} declares, reads and deletes resources, {@code
+ * /apis/v1/changes} watches changes, and {@code /apis/v1/config} and {@code /apis/v1/decisions}
+ * report the state of this instance.
  */
 public final class OperatorService implements HttpService {
 
@@ -76,17 +78,17 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
-    List<String> segments = input.segments();
-    if (segments.size() < 3 || !input.path().startsWith("/apis/v1/")) {
-      return reply(NOT_FOUND, error("not_found", "there is nothing at " + input.path()));
+  public CompletableFuture<HttpReply> serve(HttpServerRequest request) {
+    List<String> segments = request.segments();
+    if (segments.size() < 3 || !request.path().startsWith("/apis/v1/")) {
+      return reply(NOT_FOUND, error("not_found", "there is nothing at " + request.path()));
     }
     CompletableFuture<HttpReply> reply =
         switch (segments.get(2)) {
           case "config" -> reply(OK, configState());
-          case "changes" -> changes(input);
+          case "changes" -> changes(request);
           case "decisions" -> reply(OK, decisionsAbout(segments));
-          default -> resources(input, segments);
+          default -> resources(request, segments);
         };
     return reply.exceptionally(OperatorService::refusal);
   }
@@ -142,16 +144,16 @@
   }
 
   /** Returns the changes after a revision, waiting for the next one when there is none. */
-  private CompletableFuture<HttpReply> changes(HttpServerRequest input) {
-    long after = queryNumber(input, "after", 0);
-    long waitMs = Math.min(MAX_WAIT_MS, queryNumber(input, "waitMs", 0));
+  private CompletableFuture<HttpReply> changes(HttpServerRequest request) {
+    long after = queryNumber(request, "after", 0);
+    long waitMs = Math.min(MAX_WAIT_MS, queryNumber(request, "waitMs", 0));
     CompletableFuture<HttpReply> reply = new CompletableFuture<>();
     awaitChanges(after, timers.nowMs() + waitMs, reply);
     return reply;
   }
 
-  private static long queryNumber(HttpServerRequest input, String name, long fallback) {
-    String text = input.query(name, String.valueOf(fallback));
+  private static long queryNumber(HttpServerRequest request, String name, long fallback) {
+    String text = request.query(name, String.valueOf(fallback));
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException ex) {
@@ -199,22 +201,22 @@
     return node;
   }
 
-  private CompletableFuture<HttpReply> resources(HttpServerRequest input, List<String> segments) {
+  private CompletableFuture<HttpReply> resources(HttpServerRequest request, List<String> segments) {
     Optional<ResourceKind> kind = ResourceKind.find(segments.get(2));
     if (kind.isEmpty()) {
       return reply(NOT_FOUND, error("not_found", "there is no kind " + segments.get(2)));
     }
     String name = segments.size() > 3 ? segments.get(3) : "";
-    return switch (input.method()) {
+    return switch (request.method()) {
       case "GET" -> name.isEmpty() ? list(kind.get()) : get(kind.get(), name);
-      case "PUT" -> put(input, kind.get(), name);
-      case "DELETE" -> change(input, kind.get(), name, Optional.empty(), expected(input));
-      default -> reply(METHOD_NOT_ALLOWED, error("method_not_allowed", input.method()));
+      case "PUT" -> put(request, kind.get(), name);
+      case "DELETE" -> change(request, kind.get(), name, Optional.empty(), expected(request));
+      default -> reply(METHOD_NOT_ALLOWED, error("method_not_allowed", request.method()));
     };
   }
 
-  private static OptionalLong expected(HttpServerRequest input) {
-    long version = queryNumber(input, "resourceVersion", -1);
+  private static OptionalLong expected(HttpServerRequest request) {
+    long version = queryNumber(request, "resourceVersion", -1);
     return version < 0 ? OptionalLong.empty() : OptionalLong.of(version);
   }
 
@@ -250,23 +252,23 @@
   }
 
   private CompletableFuture<HttpReply> put(
-      HttpServerRequest input, ResourceKind kind, String name) {
-    Manifest manifest = JsonResources.readManifest(Json.read(input.body()));
+      HttpServerRequest request, ResourceKind kind, String name) {
+    Manifest manifest = JsonResources.readManifest(Json.read(request.body()));
     if (manifest.kind() != kind || !manifest.name().equals(name)) {
       throw InvalidInputException.of(
-          FieldError.refused("metadata.name", "does not match the address " + input.path()));
+          FieldError.refused("metadata.name", "does not match the address " + request.path()));
     }
-    return change(input, kind, name, Optional.of(manifest.spec()), manifest.version());
+    return change(request, kind, name, Optional.of(manifest.spec()), manifest.version());
   }
 
   private CompletableFuture<HttpReply> change(
-      HttpServerRequest input,
+      HttpServerRequest request,
       ResourceKind kind,
       String name,
       Optional<Spec> spec,
       OptionalLong expectedVersion) {
-    String changeId = input.headers().get("mothrill-change-id", UUID.randomUUID().toString());
-    String who = input.headers().get("mothrill-operator", "unknown");
+    String changeId = request.headers().get("mothrill-change-id", UUID.randomUUID().toString());
+    String who = request.headers().get("mothrill-operator", "unknown");
     return store
         .change(new ChangeRequest(kind, name, spec, expectedVersion, changeId, who))
         .thenApply(change -> HttpReply.json(OK, changeNode(change)));
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ProbeService.java
@@ -19,7 +19,8 @@
   /**
    * Creates the service.
    *
-   * @param unreadyReason returns why the instance accepts no requests, or an empty string when it is ready
+   * @param unreadyReason returns why the instance accepts no requests, or an empty string when it
+   *     is ready
    * @param metrics the exposed metrics
    */
   public ProbeService(Supplier<String> unreadyReason, MetricRegistry metrics) {
@@ -28,9 +29,9 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest request) {
     return CompletableFuture.completedFuture(
-        switch (input.path()) {
+        switch (request.path()) {
           case "/livez" -> HttpReply.text(OK, "ok\n");
           case "/readyz" -> ReadinessResponse.of(unreadyReason.get());
           case "/metrics" -> HttpReply.text(OK, MetricsPage.render(metrics));
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/ResourceStatus.java
@@ -86,7 +86,10 @@
     return node;
   }
 
-  /** Reports the requests still in flight in the domain, so that operators see when it has been evacuated. */
+  /**
+   * Reports the requests still in flight in the domain, so that operators see when it has been
+   * evacuated.
+   */
   private ObjectNode ofEvacuation(String domain) {
     List<UpstreamState> there =
         upstreams.all().stream()
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
@@ -49,10 +49,10 @@
 
   /** Parses a message; empty when no instance can have sent it. */
   static Optional<CrashMessage> read(CrashNotice notice) {
-    boolean possible =
+    boolean valid =
         notice.getRequestsCount() <= CrashMessage.MAX_ENTRIES
-            && notice.getRequestsList().stream().allMatch(CrashNoticeCodec::isPossible);
-    return possible
+            && notice.getRequestsList().stream().allMatch(CrashNoticeCodec::isValid);
+    return valid
         ? Optional.of(
             new CrashMessage(
                 notice.getRequestsList().stream().map(CrashNoticeCodec::read).toList(),
@@ -71,18 +71,18 @@
         request.hasClearedAgeMs() ? Optional.of(request.getClearedAgeMs()) : Optional.empty());
   }
 
-  private static boolean isPossible(CrashedRequest request) {
+  private static boolean isValid(CrashedRequest request) {
     return request.getCrashesCount() <= MAX_CRASHES
-        && isPossibleAge(request.getClearedAgeMs())
+        && isValidAge(request.getClearedAgeMs())
         && request.getCrashesList().stream()
             .allMatch(
                 crash ->
-                    isPossibleAge(crash.getAgeMs())
+                    isValidAge(crash.getAgeMs())
                         && crash.getIncarnation().length() <= MAX_NAME_CHARS
                         && crash.getReporter().length() <= MAX_NAME_CHARS);
   }
 
-  private static boolean isPossibleAge(long ageMs) {
+  private static boolean isValidAge(long ageMs) {
     return ageMs >= 0 && ageMs <= MAX_AGE_MS;
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/DatagramNotices.java
@@ -30,32 +30,41 @@
 import java.util.stream.IntStream;
 import org.tinylog.Logger;
 
-/** Sends and receives notices between instances, one per UDP datagram, without retransmission or acknowledgement. */
+/**
+ * Sends and receives notices between instances, one per UDP datagram, without retransmission or
+ * acknowledgement.
+ */
 public final class DatagramNotices
     implements PromptNoticeSender,
         CrashMessageSender,
         UpstreamStatusReportSender,
         RateLimitReportSender {
 
-  /** Upstreams process shorter prompts before a notice could influence the choice of an upstream. */
+  /**
+   * Upstreams process shorter prompts before a notice could influence the choice of an upstream.
+   */
   private static final long MIN_TOKENS = 1_500;
 
   /**
    * The minimum prompt tokens per recipient of a notice.
    *
-   * <p>If every instance sent a notice of every prompt to all others, the number of datagrams would grow with the square of the fleet size and keep small instances busy. A prompt that occupies an upstream for longer justifies more datagrams: with 70 instances, notices are sent for prompts of at least 7,000 tokens, which take about 50 to 90 ms of an upstream's time.
+   * <p>If every instance sent a notice of every prompt to all others, the number of datagrams would
+   * grow with the square of the fleet size and keep small instances busy. A prompt that occupies an
+   * upstream for longer justifies more datagrams: with 70 instances, notices are sent for prompts
+   * of at least 7,000 tokens, which take about 50 to 90 ms of an upstream's time.
    */
   private static final long TOKENS_PER_RECIPIENT = 100;
 
   /**
-   * The maximum number of recipients of a notice. With more, sending the notices would cost each instance more than a long prompt does.
+   * The maximum number of recipients of a notice. With more, sending the notices would cost each
+   * instance more than a long prompt does.
    */
   private static final int MAX_RECIPIENTS = 80;
 
   /** More tokens than the memory of any upstream can hold. */
   private static final long MAX_TOKENS = 10_000_000;
 
-  private final Supplier<List<InstanceRecord>> others;
+  private final Supplier<List<InstanceRecord>> peers;
   private final String host;
   private final Channel channel;
 
@@ -65,7 +74,7 @@
    * @param group the event loops
    * @param host an IP address
    * @param port a UDP port; 0 for any
-   * @param others supplies the other instances, which receive the notices
+   * @param peers supplies the other instances, which receive the notices
    * @param listeners receive the notices of other instances
    * @param work records the work spent on notices
    */
@@ -73,10 +82,10 @@
       EventLoopGroup group,
       String host,
       int port,
-      Supplier<List<InstanceRecord>> others,
+      Supplier<List<InstanceRecord>> peers,
       NoticeListeners listeners,
       WorkStats work) {
-    this.others = others;
+    this.peers = peers;
     this.host = host;
     this.channel =
         new Bootstrap()
@@ -99,13 +108,13 @@
 
   @Override
   public void send(String incarnation, long unreadTokens) {
-    List<InstanceRecord> told = recipients(others.get(), host);
-    if (unreadTokens < Math.max(MIN_TOKENS, TOKENS_PER_RECIPIENT * told.size())) {
+    List<InstanceRecord> recipients = recipients(peers.get(), host);
+    if (unreadTokens < Math.max(MIN_TOKENS, TOKENS_PER_RECIPIENT * recipients.size())) {
       return;
     }
     PromptNotice prompt =
         PromptNotice.newBuilder().setUpstreamId(incarnation).setUnreadTokens(unreadTokens).build();
-    send(Notice.newBuilder().setPrompt(prompt).build(), told);
+    send(Notice.newBuilder().setPrompt(prompt).build(), recipients);
   }
 
   @Override
@@ -132,14 +141,17 @@
   }
 
   /**
-   * Selects the recipients: consecutive instances, starting at a position that depends on the sender.
+   * Selects the recipients: consecutive instances, starting at a position that depends on the
+   * sender.
    *
-   * <p>If all senders started at the first instance, the last instances of a fleet with more than the maximum number of recipients would never get a notice, and would send their prompts to busy engines.
+   * <p>If all senders started at the first instance, the last instances of a fleet with more than
+   * the maximum number of recipients would never get a notice, and would send their prompts to busy
+   * engines.
    */
-  static List<InstanceRecord> recipients(List<InstanceRecord> others, String host) {
-    int first = others.isEmpty() ? 0 : Math.floorMod(host.hashCode(), others.size());
-    return IntStream.range(first, first + Math.min(MAX_RECIPIENTS, others.size()))
-        .mapToObj(place -> others.get(place % others.size()))
+  static List<InstanceRecord> recipients(List<InstanceRecord> peers, String host) {
+    int first = peers.isEmpty() ? 0 : Math.floorMod(host.hashCode(), peers.size());
+    return IntStream.range(first, first + Math.min(MAX_RECIPIENTS, peers.size()))
+        .mapToObj(place -> peers.get(place % peers.size()))
         .toList();
   }
 
@@ -182,7 +194,10 @@
       }
     }
 
-    /** Identifies the sender by its address, because it may have started after the instance list was last read. */
+    /**
+     * Identifies the sender by its address, because it may have started after the instance list was
+     * last read.
+     */
     private static InstanceRecord senderOf(DatagramPacket packet) {
       String host = packet.sender().getAddress().getHostAddress();
       return new InstanceRecord(host, host, "", host, packet.sender().getPort(), false);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/LimitNoticeCodec.java
@@ -18,11 +18,11 @@
 
   /** Parses a report; empty when no instance of this release can have sent it. */
   static Optional<RateLimitReport> read(LimitNotice notice) {
-    boolean possible =
+    boolean valid =
         notice.getIncarnation().length() <= UpstreamNoticeCodec.MAX_NAME_CHARS
             && notice.getLimitPerS() >= 0
             && Double.isFinite(notice.getLimitPerS());
-    return possible
+    return valid
         ? Optional.of(new RateLimitReport(notice.getIncarnation(), limitOf(notice)))
         : Optional.empty();
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
@@ -40,9 +40,11 @@
 import org.tinylog.Logger;
 
 /**
- * Exchanges messages with peers over one connection per peer, which carries many concurrent requests.
+ * Exchanges messages with peers over one connection per peer, which carries many concurrent
+ * requests.
  *
- * <p>Replies are matched by correlation id only, so they may arrive in any order. A connection on which a request timed out is replaced, because it may be dead although new connections work.
+ * <p>Replies are matched by correlation id only, so they may arrive in any order. A connection on
+ * which a request timed out is replaced, because it may be dead although new connections work.
  */
 public final class NettyPeers implements PeerLinks {
 
@@ -161,9 +163,9 @@
   private void failWith(long id, Address to, PeerException error) {
     CompletableFuture<PeerMessage> reply = pendingReplies.remove(id);
     if (reply != null) {
-      CompletableFuture<Channel> suspect = connections.remove(to);
-      if (suspect != null) {
-        suspect.thenAccept(Channel::close);
+      CompletableFuture<Channel> failedConnection = connections.remove(to);
+      if (failedConnection != null) {
+        failedConnection.thenAccept(Channel::close);
       }
       reply.completeExceptionally(error);
     }
@@ -172,12 +174,12 @@
   private CompletableFuture<Channel> connection(Address to) {
     return connections.compute(
         to,
-        (address, known) -> {
+        (address, existing) -> {
           boolean usable =
-              known != null
-                  && !known.isCompletedExceptionally()
-                  && (!known.isDone() || known.join().isActive());
-          return usable ? known : connect(address);
+              existing != null
+                  && !existing.isCompletedExceptionally()
+                  && (!existing.isDone() || existing.join().isActive());
+          return usable ? existing : connect(address);
         });
   }
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NoticeListeners.java
@@ -32,6 +32,6 @@
    */
   public static NoticeListeners ofCrashes(BiConsumer<CrashMessage, InstanceRecord> crashes) {
     return new NoticeListeners(
-        (incarnation, tokens) -> {}, crashes, fate -> {}, limit -> {}, host -> {});
+        (incarnation, tokens) -> {}, crashes, report -> {}, limit -> {}, host -> {});
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/UpstreamNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/UpstreamNoticeCodec.java
@@ -34,22 +34,22 @@
 
   /** Parses a report; empty when no instance of this release can have sent it. */
   static Optional<UpstreamStatusReport> read(UpstreamNotice notice) {
-    boolean possible =
+    boolean valid =
         notice.getIncarnation().length() <= MAX_NAME_CHARS
             && notice.getHost().length() <= MAX_HOST_CHARS
             && notice.getPort() > 0
             && notice.getPort() <= MAX_PORT;
-    return possible
-        ? fateOf(notice.getFate())
+    return valid
+        ? statusOf(notice.getFate())
             .map(
-                fate ->
+                status ->
                     new UpstreamStatusReport(
-                        notice.getIncarnation(), notice.getHost(), notice.getPort(), fate))
+                        notice.getIncarnation(), notice.getHost(), notice.getPort(), status))
         : Optional.empty();
   }
 
-  private static Optional<UpstreamStatus> fateOf(Fate fate) {
-    return switch (fate) {
+  private static Optional<UpstreamStatus> statusOf(Fate status) {
+    return switch (status) {
       case FATE_LEAVING -> Optional.of(UpstreamStatus.LEAVING);
       case FATE_REPLACED -> Optional.of(UpstreamStatus.REPLACED);
       case FATE_ENDED -> Optional.of(UpstreamStatus.ENDED);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
@@ -7,7 +7,8 @@
 /**
  * Converts HTTP errors of calls to the platform into {@link PlatformException}s.
  *
- * <p>A call that was never sent had no effect; one that was sent may have taken effect although its response was lost.
+ * <p>A call that was never sent had no effect; one that was sent may have taken effect although its
+ * response was lost.
  */
 public final class PlatformErrorMapper {
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/TableJson.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/TableJson.java
@@ -112,7 +112,9 @@
     return cells.build();
   }
 
-  /** Skips values of unsupported types: reading them as 0 would make them look like actual numbers. */
+  /**
+   * Skips values of unsupported types: reading them as 0 would make them look like actual numbers.
+   */
   private static void readCell(String name, JsonNode value, Cells.Builder cells) {
     if (value.isTextual()) {
       cells.add(name, value.asText());
--- a/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/upstream/UsageReader.java
@@ -10,7 +10,8 @@
 /**
  * Determines the token usage of a response.
  *
- * <p>In a stream, every event with a choice counts as one output token unless the event reports the usage. In a plain response, the usage is read from the complete body.
+ * <p>In a stream, every event with a choice counts as one output token unless the event reports the
+ * usage. In a plain response, the usage is read from the complete body.
  */
 final class UsageReader {
 
--- a/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
@@ -9,7 +9,8 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * Measures the traffic and processing time of one connection. It must be the first handler of the pipeline, so that the processing time of all other handlers is included.
+ * Measures the traffic and processing time of one connection. It must be the first handler of the
+ * pipeline, so that the processing time of all other handlers is included.
  */
 public final class WorkMeter extends ChannelDuplexHandler {
 
@@ -45,10 +46,10 @@
     ctx.write(message, promise);
   }
 
-  private void timed(Runnable turn) {
-    long beganNanos = System.nanoTime();
-    turn.run();
-    work.onTurn(kind, System.nanoTime() - beganNanos);
+  private void timed(Runnable task) {
+    long startNanos = System.nanoTime();
+    task.run();
+    work.onTurn(kind, System.nanoTime() - startNanos);
   }
 
   private static long bytesOf(Object message) {
--- a/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
@@ -93,18 +93,18 @@
   }
 
   @Test
-  void namesTheFieldsOfWrongBody() throws IOException {
+  void reportsInvalidFieldsOfBody() throws IOException {
     // WHEN
-    String answer = exchange(chat(KEY, "{\"model\": 5, \"max_tokens\": 0, \"messages\": [{}]}"));
+    String response = exchange(chat(KEY, "{\"model\": 5, \"max_tokens\": 0, \"messages\": [{}]}"));
     // THEN
-    assertThat(answer).startsWith("HTTP/1.1 400");
-    assertThat(answer).contains("model: must be a text");
-    assertThat(answer).contains("max_tokens: must be from 1");
-    assertThat(answer).contains("\"notRun\":true");
+    assertThat(response).startsWith("HTTP/1.1 400");
+    assertThat(response).contains("model: must be a text");
+    assertThat(response).contains("max_tokens: must be from 1");
+    assertThat(response).contains("\"notRun\":true");
   }
 
   @Test
-  void refusesBrokenJson() throws IOException {
+  void refusesMalformedJson() throws IOException {
     assertThat(exchange(chat(KEY, "{\"model\": "))).contains("is not JSON");
   }
 
@@ -112,10 +112,10 @@
   void refusesWrongKeyWith401() throws IOException {
     // WHEN
     String body = "{\"model\": \"m\", \"messages\": [{\"role\": \"user\", \"content\": \"x\"}]}";
-    String answer = exchange(chat("branch.wrong", body));
+    String response = exchange(chat("branch.wrong", body));
     // THEN
-    assertThat(answer).startsWith("HTTP/1.1 401");
-    assertThat(answer).contains("invalid_api_key");
+    assertThat(response).startsWith("HTTP/1.1 401");
+    assertThat(response).contains("invalid_api_key");
   }
 
   @Test
@@ -126,19 +126,19 @@
   @Test
   void refusesHeaderThatIsTooLarge() throws IOException {
     // WHEN
-    String answer = exchange("GET /v1/models HTTP/1.1\r\nx: " + "y".repeat(20_000) + "\r\n\r\n");
+    String response = exchange("GET /v1/models HTTP/1.1\r\nx: " + "y".repeat(20_000) + "\r\n\r\n");
     // THEN
-    assertThat(answer).startsWith("HTTP/1.1 400");
+    assertThat(response).startsWith("HTTP/1.1 400");
   }
 
   // Guards against connections that stay open forever: a caller sends half of its request and then
   // nothing.
   @Test
-  void cutsOffCallerThatStopsSending() throws IOException {
+  void timesOutCallerThatStopsSending() throws IOException {
     // WHEN
-    String answer = exchange("POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 50\r\n\r\n{");
+    String response = exchange("POST /v1/chat/completions HTTP/1.1\r\ncontent-length: 50\r\n\r\n{");
     // THEN
-    assertThat(answer).startsWith("HTTP/1.1 408");
+    assertThat(response).startsWith("HTTP/1.1 408");
   }
 
   @Test
--- a/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonResourcesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonResourcesTest.java
@@ -16,7 +16,7 @@
   private final JsonResources codec = new JsonResources();
 
   @Test
-  void readsBackWhatItWrote() {
+  void roundTripsBudget() {
     // GIVEN
     BudgetSpec spec = new BudgetSpec("branch", List.of("asistan"), List.of(new TopUp("t1", 5)));
     Resource resource = new Resource("b", 7, spec);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void readsBackAnEvacuation() {
+  void roundTripsEvacuation() {
     // GIVEN
     Resource resource = new Resource("ankara-a", 7, new EvacuationSpec());
     // THEN
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void namesEveryWrongFieldWithItsPath() {
+  void reportsEveryInvalidFieldWithItsPath() {
     // GIVEN
     String text =
         """
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void saysWhereTextIsNotJson() {
+  void reportsPositionOfSyntaxError() {
     // WHEN
     InvalidInputException error =
         assertThrows(InvalidInputException.class, () -> Json.read("{\"kind\": }"));
--- a/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/json/JsonTest.java
@@ -12,7 +12,7 @@
 
 class JsonTest {
 
-  private static String writtenAgain(String text) {
+  private static String roundTrip(String text) {
     return new String(Json.bytes(Json.read(text)), StandardCharsets.UTF_8);
   }
 
@@ -24,12 +24,12 @@
         "\"text\"",
         "{}"
       })
-  void writesWhatItRead(String text) {
-    assertThat(writtenAgain(text)).isEqualTo(text);
+  void roundTripsValues(String text) {
+    assertThat(roundTrip(text)).isEqualTo(text);
   }
 
   @Test
-  void readsNumbersAsTheyAre() {
+  void preservesNumberTypes() {
     JsonNode numbers = Json.read("[7, 7000000000, 0.25]");
 
     assertThat(numbers.get(0).isInt()).isTrue();
@@ -39,14 +39,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"", "{\"a\":", "{} {}", "[1,]", "nul", "{\"a\" 1}", "[1"})
-  void refusesWhatIsNoJson(String text) {
+  void rejectsInvalidJson(String text) {
     assertThrows(InvalidInputException.class, () -> Json.read(text));
   }
 
   // Guards against a stack overflow on the event loop: malformed input opens thousands of nested
   // lists.
   @Test
-  void refusesTreesThatAreTooDeep() {
+  void rejectsDeeplyNestedInput() {
     assertThrows(InvalidInputException.class, () -> Json.read("[".repeat(100_000)));
   }
 }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/DatagramNoticesTest.java
@@ -31,9 +31,10 @@
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final BlockingQueue<Long> heard = new LinkedBlockingQueue<>();
-  private final BlockingQueue<UpstreamStatusReport> heardFates = new LinkedBlockingQueue<>();
-  private final BlockingQueue<RateLimitReport> heardLimits = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Long> receivedTokens = new LinkedBlockingQueue<>();
+  private final BlockingQueue<UpstreamStatusReport> receivedStatusReports =
+      new LinkedBlockingQueue<>();
+  private final BlockingQueue<RateLimitReport> receivedLimits = new LinkedBlockingQueue<>();
 
   @AfterEach
   void stop() {
@@ -47,15 +48,15 @@
         port,
         List::of,
         new NoticeListeners(
-            (upstreamId, tokens) -> heard.add(tokens),
+            (upstreamId, tokens) -> receivedTokens.add(tokens),
             (message, sender) -> {},
-            heardFates::add,
-            heardLimits::add,
+            receivedStatusReports::add,
+            receivedLimits::add,
             host -> {}),
         new WorkStats());
   }
 
-  private DatagramNotices speaker(int port, int peerCount) {
+  private DatagramNotices sender(int port, int peerCount) {
     InstanceRecord peer = new InstanceRecord("konya-1", "konya-1", "konya", HOST, port, false);
     return new DatagramNotices(
         group,
@@ -73,46 +74,46 @@
   }
 
   /** Announces prompts to a number of peers, and returns the first notice that a peer receives. */
-  private Long firstHeard(int peerCount, long... announcedTokens) throws Exception {
+  private Long firstReceived(int peerCount, long... announcedTokens) throws Exception {
     int port = freePort();
-    final DatagramNotices listening = listener(port);
-    DatagramNotices speaking = speaker(port, peerCount);
+    final DatagramNotices listener = listener(port);
+    DatagramNotices sender = sender(port, peerCount);
     for (long tokens : announcedTokens) {
-      speaking.send("i-1", tokens);
+      sender.send("i-1", tokens);
     }
-    Long first = heard.poll(WAIT_S, TimeUnit.SECONDS);
-    speaking.close();
-    listening.close();
+    Long first = receivedTokens.poll(WAIT_S, TimeUnit.SECONDS);
+    sender.close();
+    listener.close();
     return first;
   }
 
   @Test
-  void tellsFewPeersOfMiddlingPrompt() throws Exception {
-    assertThat(firstHeard(5, 2_000)).isEqualTo(2_000);
+  void sendsMediumPromptsToFewPeers() throws Exception {
+    assertThat(firstReceived(5, 2_000)).isEqualTo(2_000);
   }
 
   // Guards against a flood of datagrams: 70 instances serve hundreds of medium prompts per second,
   // and notices of all of them would send thousands of datagrams to every instance.
   @Test
-  void tellsManyPeersOnlyOfLongPrompts() throws Exception {
-    assertThat(firstHeard(70, 2_000, 7_000)).isEqualTo(7_000);
+  void sendsOnlyLongPromptsToManyPeers() throws Exception {
+    assertThat(firstReceived(70, 2_000, 7_000)).isEqualTo(7_000);
   }
 
   // Guards against instances that never receive notices and know only their own prompts: the fleet
   // has more instances than a notice has recipients.
   @Test
-  void passesNoInstanceOverInLargeFleet() {
+  void reachesEveryInstanceOfLargeFleet() {
     List<InstanceRecord> fleet =
         IntStream.range(0, 300)
             .mapToObj(number -> instance("10.1." + number / 250 + "." + number % 250))
             .toList();
 
-    Map<InstanceRecord, Long> heardFrom =
+    Map<InstanceRecord, Long> senderCounts =
         fleet.stream()
-            .flatMap(speaker -> DatagramNotices.recipients(fleet, speaker.host()).stream())
-            .collect(Collectors.groupingBy(heard -> heard, Collectors.counting()));
+            .flatMap(sender -> DatagramNotices.recipients(fleet, sender.host()).stream())
+            .collect(Collectors.groupingBy(received -> received, Collectors.counting()));
 
-    assertThat(heardFrom.keySet()).containsExactlyElementsIn(fleet);
+    assertThat(senderCounts.keySet()).containsExactlyElementsIn(fleet);
   }
 
   private static InstanceRecord instance(String host) {
@@ -120,39 +121,39 @@
   }
 
   @Test
-  void carriesWhatWasFoundOutAboutAnUpstream() throws Exception {
+  void transfersStatusReports() throws Exception {
     int port = freePort();
     UpstreamStatusReport report =
         new UpstreamStatusReport("i-1@0", "10.0.0.1", 80, UpstreamStatus.REPLACED);
     InstanceRecord peer = new InstanceRecord("konya-1", "konya-1", "konya", HOST, port, false);
     DatagramNotices listener = listener(port);
-    DatagramNotices speaker = speaker(port, 1);
+    DatagramNotices sender = sender(port, 1);
 
-    speaker.send(report, List.of(peer));
-    UpstreamStatusReport heard = heardFates.poll(WAIT_S, TimeUnit.SECONDS);
+    sender.send(report, List.of(peer));
+    UpstreamStatusReport received = receivedStatusReports.poll(WAIT_S, TimeUnit.SECONDS);
     listener.close();
-    speaker.close();
+    sender.close();
 
-    assertThat(heard).isEqualTo(report);
+    assertThat(received).isEqualTo(report);
   }
 
   @Test
-  void carriesLimitsAndTheirEnds() throws Exception {
+  void transfersLimitsAndTheirRemoval() throws Exception {
     int port = freePort();
-    RateLimitReport begun = new RateLimitReport("i-1@0", OptionalDouble.of(0));
-    RateLimitReport ended = new RateLimitReport("i-1@0", OptionalDouble.empty());
+    RateLimitReport announced = new RateLimitReport("i-1@0", OptionalDouble.of(0));
+    RateLimitReport removed = new RateLimitReport("i-1@0", OptionalDouble.empty());
     InstanceRecord peer = new InstanceRecord("konya-1", "konya-1", "konya", HOST, port, false);
     DatagramNotices listener = listener(port);
-    DatagramNotices speaker = speaker(port, 1);
+    DatagramNotices sender = sender(port, 1);
 
-    speaker.send(begun, List.of(peer));
-    final RateLimitReport first = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
-    speaker.send(ended, List.of(peer));
-    final RateLimitReport second = heardLimits.poll(WAIT_S, TimeUnit.SECONDS);
+    sender.send(announced, List.of(peer));
+    final RateLimitReport first = receivedLimits.poll(WAIT_S, TimeUnit.SECONDS);
+    sender.send(removed, List.of(peer));
+    final RateLimitReport second = receivedLimits.poll(WAIT_S, TimeUnit.SECONDS);
     listener.close();
-    speaker.close();
+    sender.close();
 
-    assertThat(first).isEqualTo(begun);
-    assertThat(second).isEqualTo(ended);
+    assertThat(first).isEqualTo(announced);
+    assertThat(second).isEqualTo(removed);
   }
 }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/MalformedNoticesTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/MalformedNoticesTest.java
@@ -28,24 +28,25 @@
 /** Guards against datagrams to the notice port that were not sent by an instance. */
 class MalformedNoticesTest {
 
-  private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 9);
+  private static final InetSocketAddress LOCAL_ADDRESS = new InetSocketAddress("127.0.0.1", 9);
 
-  private final List<Long> heardTokens = new ArrayList<>();
-  private final List<CrashMessage> heardCrashes = new ArrayList<>();
-  private final List<UpstreamStatusReport> heardFates = new ArrayList<>();
-  private final List<RateLimitReport> heardLimits = new ArrayList<>();
+  private final List<Long> receivedTokens = new ArrayList<>();
+  private final List<CrashMessage> receivedCrashes = new ArrayList<>();
+  private final List<UpstreamStatusReport> receivedStatusReports = new ArrayList<>();
+  private final List<RateLimitReport> receivedLimits = new ArrayList<>();
   private final EmbeddedChannel channel =
       new EmbeddedChannel(
           new DatagramNotices.NoticeHandler(
               new NoticeListeners(
-                  (incarnation, tokens) -> heardTokens.add(tokens),
-                  (message, sender) -> heardCrashes.add(message),
-                  heardFates::add,
-                  heardLimits::add,
+                  (incarnation, tokens) -> receivedTokens.add(tokens),
+                  (message, sender) -> receivedCrashes.add(message),
+                  receivedStatusReports::add,
+                  receivedLimits::add,
                   host -> {})));
 
   private void receive(byte[] bytes) {
-    channel.writeInbound(new DatagramPacket(Unpooled.wrappedBuffer(bytes), HERE, HERE));
+    channel.writeInbound(
+        new DatagramPacket(Unpooled.wrappedBuffer(bytes), LOCAL_ADDRESS, LOCAL_ADDRESS));
   }
 
   private void receive(UpstreamNotice.Builder report) {
@@ -59,20 +60,20 @@
   }
 
   @Test
-  void passesOnWhatAnotherInstanceSays() {
+  void deliversPromptNotices() {
     receive(notice(4_000));
 
-    assertThat(heardTokens).containsExactly(4_000L);
+    assertThat(receivedTokens).containsExactly(4_000L);
   }
 
   // Guards against an upstream getting no requests for hours: a foreign datagram claims a prompt
   // that is longer than any upstream can process.
   @Test
-  void passesOverImpossiblePrompts() {
+  void ignoresImpossiblePrompts() {
     receive(notice(Long.MAX_VALUE));
     receive(notice(-1));
 
-    assertThat(heardTokens).isEmpty();
+    assertThat(receivedTokens).isEmpty();
   }
 
   private static byte[] crashNotice(long ageMs) {
@@ -85,62 +86,62 @@
   }
 
   @Test
-  void passesOnCrashesThatAnotherInstanceSaw() {
+  void deliversCrashNotices() {
     receive(crashNotice(200));
 
-    assertThat(heardCrashes).hasSize(1);
+    assertThat(receivedCrashes).hasSize(1);
   }
 
   // No instance reports a crash that lies in the future or days in the past.
   @Test
-  void passesOverImpossibleCrashes() {
+  void ignoresImpossibleCrashes() {
     receive(crashNotice(-1));
     receive(crashNotice(Long.MAX_VALUE));
 
-    assertThat(heardCrashes).isEmpty();
+    assertThat(receivedCrashes).isEmpty();
   }
 
   @Property(tries = 400, seed = "30005")
-  void bytesThatMeanNothingDoNoHarm(@ForAll byte[] bytes) {
+  void ignoresArbitraryBytes(@ForAll byte[] bytes) {
     receive(bytes);
     channel.checkException();
 
-    heardTokens.clear();
+    receivedTokens.clear();
     receive(notice(4_000));
-    assertThat(heardTokens).containsExactly(4_000L);
+    assertThat(receivedTokens).containsExactly(4_000L);
   }
 
   @Test
-  void reportsThatNoInstanceWritesAreDropped() {
-    UpstreamNotice sound =
+  void ignoresInvalidStatusReports() {
+    UpstreamNotice valid =
         UpstreamNotice.newBuilder()
             .setIncarnation("i-1@0")
             .setHost("10.0.0.1")
             .setPort(80)
             .setFate(UpstreamNotice.Fate.FATE_ENDED)
             .build();
-    receive(sound.toBuilder().setPort(0));
-    receive(sound.toBuilder().setPort(70_000));
-    receive(sound.toBuilder().setIncarnation("i".repeat(500)));
-    receive(sound.toBuilder().setFateValue(9));
-    receive(sound.toBuilder().clearFate());
-    assertThat(heardFates).isEmpty();
+    receive(valid.toBuilder().setPort(0));
+    receive(valid.toBuilder().setPort(70_000));
+    receive(valid.toBuilder().setIncarnation("i".repeat(500)));
+    receive(valid.toBuilder().setFateValue(9));
+    receive(valid.toBuilder().clearFate());
+    assertThat(receivedStatusReports).isEmpty();
 
-    receive(sound.toBuilder());
+    receive(valid.toBuilder());
 
-    assertThat(heardFates)
+    assertThat(receivedStatusReports)
         .containsExactly(new UpstreamStatusReport("i-1@0", "10.0.0.1", 80, UpstreamStatus.ENDED));
   }
 
   // A limit that is not a valid rate would block or admit all requests to an upstream.
   @ParameterizedTest
   @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-  void passesOverLimitThatIsNoRate(double limitPerS) {
+  void ignoresInvalidLimits(double limitPerS) {
     LimitNotice.Builder limit =
         LimitNotice.newBuilder().setIncarnation("i-1@0").setLimitPerS(limitPerS);
 
     receive(Notice.newBuilder().setLimit(limit).build().toByteArray());
 
-    assertThat(heardLimits).isEmpty();
+    assertThat(receivedLimits).isEmpty();
   }
 }
--- a/mothrill-wire/src/test/java/io/mothrill/wire/peer/PeerCodecTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/peer/PeerCodecTest.java
@@ -72,7 +72,7 @@
 
   @ParameterizedTest
   @MethodSource("messages")
-  void readsBackEveryMessageThatItWrote(PeerMessage message) {
+  void roundTripsEveryMessage(PeerMessage message) {
     assertThat(decoder.decode(encoder.encode(message).build())).isEqualTo(message);
   }
 }
