--- a/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
@@ -53,7 +53,7 @@
     CompletableFuture<List<Row>> lateBills = scan(BudgetTables.LATE_BILLS);
     return CompletableFuture.allOf(budgets, topUps, allotments, ledger, lateBills)
         .thenApply(
-            nothing ->
+            ignored ->
                 new LedgerCheck(
                         budgets.join(),
                         topUps.join(),
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
@@ -22,7 +22,7 @@
   private static final int CHANGES_PER_READ = 200;
   private static final int MAX_RECENT_CHANGES = 2_000;
 
-  private final PublishedValue<ConfigSnapshot> section;
+  private final PublishedValue<ConfigSnapshot> config;
   private final ConfigStore store;
   private final AtomicBoolean polling = new AtomicBoolean();
   private final AtomicReference<List<Change>> recent = new AtomicReference<>(List.of());
@@ -30,7 +30,7 @@
   /**
    * Creates the controller and starts polling.
    *
-   * @param section receives the published configuration
+   * @param config receives the published configuration
    * @param store the platform's table
    * @param timers the timer service
    * @param pollMs the poll interval in milliseconds
@@ -38,19 +38,19 @@
    *     instances do, and the others learn of a later revision from their peers
    */
   public ConfigController(
-      PublishedValue<ConfigSnapshot> section,
+      PublishedValue<ConfigSnapshot> config,
       ConfigStore store,
       Timers timers,
       long pollMs,
       BooleanSupplier shouldPoll) {
-    this.section = section;
+    this.config = config;
     this.store = store;
     timers.every(pollMs, () -> pollIfDue(shouldPoll));
     timers.after(0, this::poll);
   }
 
   private void pollIfDue(BooleanSupplier shouldPoll) {
-    if (section.read().revision() == 0 || shouldPoll.getAsBoolean()) {
+    if (config.read().revision() == 0 || shouldPoll.getAsBoolean()) {
       poll();
     }
   }
@@ -60,12 +60,12 @@
     if (!polling.compareAndSet(false, true)) {
       return;
     }
-    boolean first = section.read().revision() == 0;
+    boolean first = config.read().revision() == 0;
     CompletableFuture<Void> read =
         first ? store.load().thenAccept(this::applyChanges) : readAfter(store);
     var unused =
         read.whenComplete(
-            (nothing, error) -> {
+            (ignored, error) -> {
               polling.set(false);
               if (error != null) {
                 Logger.debug("configuration poll failed: {}", error.getMessage());
@@ -83,7 +83,7 @@
   }
 
   private CompletableFuture<Void> readAfter(ChangeSource source) {
-    long currentRevision = section.read().revision();
+    long currentRevision = config.read().revision();
     return source
         .changesAfter(currentRevision, CHANGES_PER_READ)
         .thenCompose(
@@ -96,7 +96,7 @@
   }
 
   private void applyChanges(ConfigSnapshot loaded) {
-    section.update(current -> loaded.revision() > current.revision() ? loaded : current);
+    config.update(current -> loaded.revision() > current.revision() ? loaded : current);
   }
 
   /**
@@ -108,7 +108,7 @@
    * @param changes the changes, ordered by revision
    */
   public void applyChanges(List<Change> changes) {
-    section.update(current -> isGapless(current, changes) ? current.with(changes) : current);
+    config.update(current -> isGapless(current, changes) ? current.with(changes) : current);
     recent.updateAndGet(before -> appendRecent(before, changes));
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigStore.java
@@ -136,7 +136,7 @@
     CompletableFuture<Void> allowed =
         request.spec().isPresent() ? CompletableFuture.completedFuture(null) : checkUnused(request);
     return allowed
-        .thenCompose(nothing -> table.write(fullTransaction))
+        .thenCompose(ignored -> table.write(fullTransaction))
         .thenCompose(written -> written ? accepted(change) : retry(request, attempt));
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
@@ -58,7 +58,7 @@
     return entries.values().stream()
         .filter(entry -> entry.announcedMs >= oldestMs)
         .map(Entry::instance)
-        .sorted((left, right) -> left.id().compareTo(right.id()))
+        .sorted((first, second) -> first.id().compareTo(second.id()))
         .toList();
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/StoreClock.java
@@ -20,8 +20,8 @@
    * Returns an upper bound of the store's clock at a moment before the store's first response to
    * this process.
    *
-   * @param steadyMs the moment, on this instance's monotonic clock
+   * @param monotonicMs the moment, on this instance's monotonic clock
    * @return milliseconds on the store's clock, never less than the actual time
    */
-  long upperBoundMs(long steadyMs);
+  long upperBoundMs(long monotonicMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/WallClockStoreClock.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public long upperBoundMs(long steadyMs) {
-    return timers.wallMs() - timers.nowMs() + steadyMs;
+  public long upperBoundMs(long monotonicMs) {
+    return timers.wallMs() - timers.nowMs() + monotonicMs;
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServer.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/http/HttpServer.java
@@ -22,7 +22,7 @@
  * An HTTP server on one port.
  *
  * <pre>{@code
- * HttpServer server = HttpServer.ofService(group, "127.0.0.1", 0, input -> answer(input));
+ * HttpServer server = HttpServer.ofService(group, "127.0.0.1", 0, request -> respond(request));
  * int port = server.port();
  * }</pre>
  */
--- a/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/operator/OperatorService.java
@@ -227,7 +227,7 @@
         config.read().list(kind).stream().map(this::withStatus).toList();
     return CompletableFuture.allOf(written.toArray(CompletableFuture[]::new))
         .thenApply(
-            nothing -> {
+            ignored -> {
               written.forEach(item -> items.add(item.join()));
               return HttpReply.json(OK, node);
             });
--- a/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
+++ b/mothrill-wire/src/test/java/io/mothrill/wire/caller/CallerServerTest.java
@@ -62,10 +62,10 @@
             new JsonResources(),
             timers,
             new Random(1));
-    Node made = new Node(self, ports, NodeSettings.standard(), new MetricRegistry());
+    Node newNode = new Node(self, ports, NodeSettings.standard(), new MetricRegistry());
     TeamSpec team = new TeamSpec(List.of(TeamKey.hash("salt", "secret")), 1);
-    made.config().publish(ConfigSnapshot.of(1, List.of(new Resource("branch", 1, team))));
-    return made;
+    newNode.config().publish(ConfigSnapshot.of(1, List.of(new Resource("branch", 1, team))));
+    return newNode;
   }
 
   @AfterEach
