--- a/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/audit/Auditor.java
@@ -16,10 +16,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads the platform's table and checks that its sums agree.
+ * Audits the budget rows of the platform's table.
  *
- * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, the
- * paid sum is that of its top-ups, and no request is billed by two runs or twice by one.
+ * <p>For each budget: {@code sum(ledger) = sum(billed) <= sum(granted) = allotted <= paid}, {@code
+ * paid} equals the sum of its top-ups, and no request is billed by two runs or twice by one run.
  *
  * <pre>{@code
  * new Auditor(table).audit().thenAccept(report -> report.findings().forEach(this::print));
@@ -41,25 +41,25 @@
   }
 
   /**
-   * Reads and checks all books.
+   * Reads all budget tables and checks them against each other.
    *
-   * @return the report; fails when the platform does not answer
+   * @return the report; fails when the platform does not respond
    */
   public CompletableFuture<AuditReport> audit() {
     CompletableFuture<List<Row>> budgets = scan(BudgetTables.BUDGETS);
     CompletableFuture<List<Row>> topUps = scan(BudgetTables.TOP_UPS);
     CompletableFuture<List<Row>> allotments = scan(BudgetTables.ALLOTMENTS);
     CompletableFuture<List<Row>> ledger = scan(BudgetTables.LEDGER);
-    CompletableFuture<List<Row>> late = scan(BudgetTables.LATE_BILLS);
-    return CompletableFuture.allOf(budgets, topUps, allotments, ledger, late)
+    CompletableFuture<List<Row>> lateBills = scan(BudgetTables.LATE_BILLS);
+    return CompletableFuture.allOf(budgets, topUps, allotments, ledger, lateBills)
         .thenApply(
-            nothing ->
+            ignored ->
                 new LedgerCheck(
                         budgets.join(),
                         topUps.join(),
                         allotments.join(),
                         ledger.join(),
-                        late.join())
+                        lateBills.join())
                     .check());
   }
 
@@ -79,7 +79,7 @@
             });
   }
 
-  /** The rows of all books, and what is wrong with them. */
+  /** Checks the rows of all budget tables and collects the findings. */
   private static final class LedgerCheck {
     private final List<Row> budgets;
     private final List<Row> topUps;
@@ -97,12 +97,12 @@
         List<Row> topUps,
         List<Row> allotments,
         List<Row> ledger,
-        List<Row> late) {
+        List<Row> lateBills) {
       this.budgets = budgets;
       this.topUps = topUps;
       this.allotments = allotments;
       this.ledger = ledger;
-      this.lateBills = late;
+      this.lateBills = lateBills;
     }
 
     AuditReport check() {
--- a/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/config/ConfigController.java
@@ -11,60 +11,61 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the blackboard's configuration up to date, upwards only.
+ * Keeps the published configuration up to date; its revision never decreases.
  *
- * <p>It asks the platform's table for later changes every poll, and any other source when that
- * source is known to be ahead, so a side that cannot reach the platform follows its peers.
+ * <p>It polls the platform's table for later changes, and reads from another source when that
+ * source is known to be ahead. Instances that cannot reach the platform therefore follow their
+ * peers.
  */
 public final class ConfigController {
 
   private static final int CHANGES_PER_READ = 200;
   private static final int MAX_RECENT_CHANGES = 2_000;
 
-  private final PublishedValue<ConfigSnapshot> section;
+  private final PublishedValue<ConfigSnapshot> config;
   private final ConfigStore store;
   private final AtomicBoolean polling = new AtomicBoolean();
   private final AtomicReference<List<Change>> recent = new AtomicReference<>(List.of());
 
   /**
-   * Creates the controller and starts to poll.
+   * Creates the controller and starts polling.
    *
-   * @param section where the configuration is published
+   * @param config receives the published configuration
    * @param store the platform's table
-   * @param timers the time
-   * @param pollMs milliseconds between two polls
-   * @param isTurn whether this instance polls now; in a large fleet only some do each time, and the
-   *     others hear of a later revision from their peers
+   * @param timers the timer service
+   * @param pollMs the poll interval in milliseconds
+   * @param shouldPoll whether this instance polls in this interval; in a large fleet only some
+   *     instances do, and the others learn of a later revision from their peers
    */
   public ConfigController(
-      PublishedValue<ConfigSnapshot> section,
+      PublishedValue<ConfigSnapshot> config,
       ConfigStore store,
       Timers timers,
       long pollMs,
-      BooleanSupplier isTurn) {
-    this.section = section;
+      BooleanSupplier shouldPoll) {
+    this.config = config;
     this.store = store;
-    timers.every(pollMs, () -> pollInTurn(isTurn));
+    timers.every(pollMs, () -> pollIfDue(shouldPoll));
     timers.after(0, this::poll);
   }
 
-  private void pollInTurn(BooleanSupplier isTurn) {
-    if (section.read().revision() == 0 || isTurn.getAsBoolean()) {
+  private void pollIfDue(BooleanSupplier shouldPoll) {
+    if (config.read().revision() == 0 || shouldPoll.getAsBoolean()) {
       poll();
     }
   }
 
-  /** Asks the platform's table for later changes, unless a poll is still under way. */
+  /** Polls the platform's table for later changes, unless a poll is still in progress. */
   public void poll() {
     if (!polling.compareAndSet(false, true)) {
       return;
     }
-    boolean first = section.read().revision() == 0;
+    boolean first = config.read().revision() == 0;
     CompletableFuture<Void> read =
         first ? store.load().thenAccept(this::applyChanges) : readAfter(store);
     var unused =
         read.whenComplete(
-            (nothing, error) -> {
+            (ignored, error) -> {
               polling.set(false);
               if (error != null) {
                 Logger.debug("configuration poll failed: {}", error.getMessage());
@@ -75,14 +76,14 @@
   /**
    * Reads later changes from a source that is ahead.
    *
-   * @param source a peer that has a later revision
+   * @param source a peer with a later revision
    */
   public void catchUp(ChangeSource source) {
     var unused = readAfter(source);
   }
 
   private CompletableFuture<Void> readAfter(ChangeSource source) {
-    long currentRevision = section.read().revision();
+    long currentRevision = config.read().revision();
     return source
         .changesAfter(currentRevision, CHANGES_PER_READ)
         .thenCompose(
@@ -95,25 +96,28 @@
   }
 
   private void applyChanges(ConfigSnapshot loaded) {
-    section.update(held -> loaded.revision() > held.revision() ? loaded : held);
+    config.update(current -> loaded.revision() > current.revision() ? loaded : current);
   }
 
   /**
-   * Takes up changes that follow the held revision.
+   * Applies changes that follow the current revision.
    *
-   * <p>A list with a gap is refused: taking it up would skip a change for good, because later reads
-   * start after the highest revision held.
+   * <p>A list with a gap is ignored: applying it would lose the missing change permanently, because
+   * later reads start after the highest applied revision.
    *
-   * @param changes changes in order of revision
+   * @param changes the changes, ordered by revision
    */
   public void applyChanges(List<Change> changes) {
-    section.update(held -> isGapless(held, changes) ? held.with(changes) : held);
+    config.update(current -> isGapless(current, changes) ? current.with(changes) : current);
     recent.updateAndGet(before -> appendRecent(before, changes));
   }
 
-  /** Keeps the last changes for peers that cannot reach the platform; drops all at a gap. */
-  private static List<Change> appendRecent(List<Change> before, List<Change> changes) {
-    List<Change> kept = new ArrayList<>(before);
+  /**
+   * Keeps the most recent changes for peers that cannot reach the platform. Earlier changes are
+   * dropped when a gap follows them.
+   */
+  private static List<Change> appendRecent(List<Change> earlier, List<Change> changes) {
+    List<Change> kept = new ArrayList<>(earlier);
     for (Change change : changes) {
       long last = kept.isEmpty() ? change.revision() - 1 : kept.get(kept.size() - 1).revision();
       if (change.revision() > last + 1) {
@@ -127,11 +131,11 @@
   }
 
   /**
-   * Gives the changes that follow a revision, as far as they are kept here.
+   * Returns the changes that follow a revision, if they are still kept here.
    *
-   * @param revision the last revision that the asker holds
-   * @param limit at most this many
-   * @return the changes without a gap; empty when the next one is not kept
+   * @param revision the last revision that the requester has
+   * @param limit the maximum number of changes
+   * @return the changes, without gaps; empty when the next one is not kept
    */
   public List<Change> recentAfter(long revision, int limit) {
     List<Change> newer =
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FakeInstanceList.java
@@ -8,9 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
-/**
- * An instance list in memory, which forgets an instance that has not announced itself for a while.
- */
+/** An in-memory instance list that drops instances which have not announced themselves recently. */
 public final class FakeInstanceList implements InstanceList {
 
   private final Map<String, Entry> entries = new ConcurrentHashMap<>();
@@ -21,19 +19,20 @@
   /**
    * Creates an empty list.
    *
-   * @param timers the time
-   * @param forgetAfterMs how long an instance stays after its last announcement: the list's lag
+   * @param timers the timer service
+   * @param expiryMs how long an instance stays listed after its last announcement, which models the
+   *     lag of the list
    */
-  public FakeInstanceList(Timers timers, long forgetAfterMs) {
+  public FakeInstanceList(Timers timers, long expiryMs) {
     this.timers = timers;
-    this.expiryMs = forgetAfterMs;
+    this.expiryMs = expiryMs;
     this.faults = new FaultInjector(timers);
   }
 
   /**
-   * Gives the switch for this list's faults.
+   * Returns the fault injector of this list.
    *
-   * @return the faults
+   * @return the fault injector
    */
   public FaultInjector faults() {
     return faults;
@@ -59,7 +58,7 @@
     return entries.values().stream()
         .filter(entry -> entry.announcedMs >= oldestMs)
         .map(Entry::instance)
-        .sorted((left, right) -> left.id().compareTo(right.id()))
+        .sorted((first, second) -> first.id().compareTo(second.id()))
         .toList();
   }
 
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigSnapshotWithTest.java
@@ -18,13 +18,14 @@
         revision, ResourceKind.TEAM, "branch", Optional.of(resource), "c" + revision, "op", 0);
   }
 
-  // A peer that was cut off for long sends old changes. What is in force must not go back.
+  // Guards against reverting the configuration: a peer that was partitioned for long sends old
+  // changes.
   @Test
-  void neverGoesBackWhenOldChangesArriveLate() {
+  void keepsNewerStateWhenOldChangesArrive() {
     // GIVEN
-    ConfigSnapshot held = ConfigSnapshot.empty().with(List.of(change(1, 1), change(2, 2)));
+    ConfigSnapshot current = ConfigSnapshot.empty().with(List.of(change(1, 1), change(2, 2)));
     // WHEN
-    ConfigSnapshot after = held.with(List.of(change(1, 1)));
+    ConfigSnapshot after = current.with(List.of(change(1, 1)));
     // THEN
     assertThat(after.revision()).isEqualTo(2);
     assertThat(after.team("branch").orElseThrow().weight()).isEqualTo(2);
--- a/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/config/ConfigStoreChangeTest.java
@@ -32,7 +32,7 @@
   private final FakeTable table = new FakeTable(timers);
   private final ConfigStore store = new ConfigStore(table, new ListCodec(), timers);
 
-  /** Keeps resources in a list and writes their places. */
+  /** Keeps resources in a list and serializes them as their index. */
   private static final class ListCodec implements ResourceCodec {
     private final List<Resource> written = new ArrayList<>();
 
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void acceptsOneOfTwoOperatorsWhoReadTheSameVersion() {
+  void acceptsOneOfTwoConcurrentChanges() {
     // GIVEN
     long version = apply("branch", team(1), 0, "c1").join().revision();
     // WHEN
@@ -77,10 +77,10 @@
     assertThat(refused.current().orElseThrow().spec()).isEqualTo(team(2));
   }
 
-  // The change takes effect, but the answer is lost. The operator sends it again with the same
-  // change id and gets the first answer; the top-up is added once.
+  // Guards against crediting a top-up twice: the change takes effect, but its response is lost, and
+  // the operator sends it again with the same change id.
   @Test
-  void acceptsChangeOnceWhenItsAnswerWasLost() {
+  void acceptsChangeOnceWhenItsResponseWasLost() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     table.faults().setFault(Fault.ANSWER_LOST);
@@ -95,7 +95,7 @@
   }
 
   @Test
-  void addsEachTopUpOnceByItsId() {
+  void creditsEachTopUpOnceByItsId() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     // WHEN
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void refusesTopUpWhoseIdWasUsedForAnotherSum() {
+  void rejectsTopUpIdReusedWithAnotherAmount() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     var first = apply("b", budget(new TopUp("t1", 500)), -1, "c2").join();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void namesTheFieldThatRefersToNothing() {
+  void reportsFieldThatRefersToMissingResource() {
     // WHEN
     var refused = apply("b", budget(new TopUp("t1", 500)), -1, "c1");
     // THEN
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void refusesToDeleteWhatOthersReferTo() {
+  void rejectsDeletionOfReferencedResource() {
     // GIVEN
     var team = apply("branch", team(1), -1, "c1").join();
     var budget = apply("b", budget(new TopUp("t1", 500)), -1, "c2").join();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/explain/Explanation.java
@@ -7,19 +7,21 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The story of one request, told from the lines about it and about its instance. */
+/** Explains the outcome of a request from the log lines about it and its instance. */
 final class Explanation {
 
-  /** Changes of the plan so short before a request may have decided about it. */
-  private static final Duration RECENT = Duration.ofSeconds(5);
+  /**
+   * How long before a request's arrival an instance event may still have influenced its outcome.
+   */
+  private static final Duration RECENT_WINDOW = Duration.ofSeconds(5);
 
   private final MergedLog log;
 
-  Explanation(MergedLog book) {
-    this.log = book;
+  Explanation(MergedLog log) {
+    this.log = log;
   }
 
-  /** Tells all that is known of a request; empty when no line is about it. */
+  /** Returns the explanation of a request, line by line; empty when no log line is about it. */
   List<String> explain(String requestId) {
     return log.lines().stream()
         .filter(line -> line.isRequest(requestId))
@@ -61,7 +63,7 @@
     return offers.isEmpty() ? Stream.empty() : Stream.of(offers.split("; "));
   }
 
-  /** What any instance has noted of upstreams that ended under the same request. */
+  /** Returns what any instance logged about upstreams that ended while serving the same request. */
   private Stream<String> crashes(LogLine line) {
     String fingerprint = line.text("fingerprint");
     if (fingerprint.isEmpty()) {
@@ -76,36 +78,36 @@
                     "  %s at %s: %s".formatted(other.at(), other.source(), other.text("message"))));
   }
 
-  /** What its instance was going through meanwhile. */
+  /** Returns the relevant events of the instance before the end of the request. */
   private Stream<String> instanceContext(LogLine line) {
     Instant arrived = line.at().minusMillis(line.number("tookMs"));
     return Stream.of(
-            storeState(line),
-            recent(line, arrived, "plan in force"),
-            recent(line, arrived, "tokens borrowed"),
-            recent(line, arrived, "spending continues"),
+            storeOutage(line),
+            recentEvent(line, arrived, "plan in force"),
+            recentEvent(line, arrived, "tokens borrowed"),
+            recentEvent(line, arrived, "spending continues"),
             leaving(line))
         .flatMap(Optional::stream);
   }
 
-  private Optional<String> storeState(LogLine line) {
-    return log.before(line)
+  private Optional<String> storeOutage(LogLine line) {
+    return log.linesUpTo(line)
         .filter(other -> other.messageStartsWith("store "))
         .findFirst()
         .filter(other -> other.messageStartsWith("store lost"))
         .map(other -> "  meanwhile: out of reach of the store " + since(other, line));
   }
 
-  private Optional<String> recent(LogLine line, Instant arrived, String beginning) {
-    return log.before(line)
-        .filter(other -> other.messageStartsWith(beginning))
+  private Optional<String> recentEvent(LogLine line, Instant arrived, String prefix) {
+    return log.linesUpTo(line)
+        .filter(other -> other.messageStartsWith(prefix))
         .findFirst()
-        .filter(other -> other.at().isAfter(arrived.minus(RECENT)))
+        .filter(other -> other.at().isAfter(arrived.minus(RECENT_WINDOW)))
         .map(other -> "  meanwhile: " + other.text("message") + " " + since(other, line));
   }
 
   private Optional<String> leaving(LogLine line) {
-    return log.before(line)
+    return log.linesUpTo(line)
         .filter(other -> other.messageStartsWith("leaving") || other.isEvent("started"))
         .findFirst()
         .filter(other -> other.messageStartsWith("leaving"))
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -40,7 +40,7 @@
 import org.tinylog.Logger;
 
 /**
- * One instance that forwards requests: decisions, the sockets around them, and how it leaves.
+ * An instance that forwards requests; wires up its components and drains it on shutdown.
  *
  * <pre>{@code
  * ForwardInstance instance = new ForwardInstance(settings, ports, group, timers);
@@ -50,21 +50,26 @@
  */
 public final class ForwardInstance {
 
-  /** Callers are sent elsewhere after two questions without a yes, which come every second. */
+  /**
+   * Longer than two failed readiness probes at one per second, after which callers are routed
+   * elsewhere.
+   */
   private static final long MIN_DRAIN_MS = 2_600;
 
-  private static final long LEAVE_CHECK_MS = 100;
+  private static final long DRAIN_CHECK_MS = 100;
 
   /**
-   * Upstreams that had requests under way when they left the list are forgotten after those; a
-   * request lasts seconds, and each of them takes some hundred bytes meanwhile.
+   * How often the state of delisted upstreams without requests in flight is removed. Requests last
+   * seconds, and the state of an upstream takes a few hundred bytes.
    */
   private static final long PRUNE_INTERVAL_MS = 10_000;
 
-  /** A few hundred bytes now and then: enough to see in a log what an instance was busy with. */
+  /**
+   * The interval of log lines about the work of the event loops; each takes a few hundred bytes.
+   */
   private static final long WORK_LOG_INTERVAL_MS = 10_000;
 
-  /** Time for the last row, after the last request. */
+  /** The time limit for returning unspent tokens after the last request. */
   private static final long HAND_BACK_TIMEOUT_MS = 300;
 
   private final ForwardSettings settings;
@@ -87,10 +92,10 @@
   /**
    * Starts an instance.
    *
-   * @param settings its settings
-   * @param ports what it reaches the platform through
+   * @param settings the settings
+   * @param ports the connections to the platform
    * @param group the event loops
-   * @param timers the time
+   * @param timers the timer service
    */
   public ForwardInstance(
       ForwardSettings settings, ForwardPorts ports, EventLoopGroup group, Timers timers) {
@@ -130,8 +135,8 @@
             settings,
             new UpstreamSelection.View(plan, evacuatedDomains, upstreams),
             fleetView(),
-            this::sendFate,
-            this::sendLimit,
+            this::sendStatusReport,
+            this::sendRateLimitReport,
             reach::isReachable,
             timers,
             random);
@@ -139,7 +144,7 @@
         new CrashGuard(
             self,
             spending::peers,
-            this::sendReport,
+            this::sendCrashMessage,
             ports.table(),
             ports.storeClock(),
             choice.reportingEnds(new UpstreamProbe(group, timers)),
@@ -198,17 +203,17 @@
             settings.metricsPort(),
             new ProbeService(this::unreadyReason, metrics));
     ForwardGauges gauges = new ForwardGauges(metrics);
-    gauges.showEdge(edge);
-    gauges.showSpending(plan, spending);
-    gauges.showCrashes(crashes);
-    gauges.showUpstreams(evacuatedDomains, choice);
-    gauges.showLog();
-    gauges.showWork(ports.work());
+    gauges.registerServer(edge);
+    gauges.registerSpending(plan, spending);
+    gauges.registerCrashes(crashes);
+    gauges.registerUpstreams(evacuatedDomains, choice);
+    gauges.registerLog();
+    gauges.registerWork(ports.work());
     timers.every(PRUNE_INTERVAL_MS, () -> choice.loads().retain(upstreams.read()));
     timers.every(WORK_LOG_INTERVAL_MS, () -> WorkLog.write(ports.work()));
     StatePoller follower =
         new StatePoller(ports.state(), plan, evacuatedDomains, upstreams, timers, settings.view());
-    gauges.showView(plan, upstreams, follower);
+    gauges.registerView(plan, upstreams, follower);
   }
 
   private FleetView fleetView() {
@@ -225,15 +230,15 @@
     };
   }
 
-  private void sendFate(UpstreamStatusReport report, List<InstanceRecord> to) {
+  private void sendStatusReport(UpstreamStatusReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
-  private void sendLimit(RateLimitReport report, List<InstanceRecord> to) {
+  private void sendRateLimitReport(RateLimitReport report, List<InstanceRecord> to) {
     notices.send(report, to);
   }
 
-  private void sendReport(CrashMessage message, List<InstanceRecord> to) {
+  private void sendCrashMessage(CrashMessage message, List<InstanceRecord> to) {
     notices.send(message, to);
   }
 
@@ -255,28 +260,28 @@
   }
 
   /**
-   * Leaves without cutting off a request.
+   * Drains the instance without aborting requests.
    *
-   * <p>The probe says no at once. What still arrives is served until callers have been sent
-   * elsewhere and refused after that; what is under way goes on until it has ended, or the time to
-   * leave is over.
+   * <p>The readiness probe fails immediately. New requests are served until callers have been
+   * routed elsewhere, and refused afterwards. Requests in flight continue until they end or the
+   * drain timeout expires.
    *
-   * @return completes when the process may exit
+   * @return a future that completes when the process may exit
    */
   public CompletableFuture<Void> leave() {
     if (!leaving) {
       leaving = true;
       Logger.info("leaving underWay={}", edge.inFlightCount());
       edge.startDraining();
-      long beganMs = timers.nowMs();
+      long drainStartMs = timers.nowMs();
       Subscription[] check = new Subscription[1];
-      check[0] = timers.every(LEAVE_CHECK_MS, () -> checkDrained(beganMs, check[0]));
+      check[0] = timers.every(DRAIN_CHECK_MS, () -> checkDrained(drainStartMs, check[0]));
     }
     return drainFuture;
   }
 
-  private void checkDrained(long beganMs, Subscription check) {
-    long sinceMs = timers.nowMs() - beganMs;
+  private void checkDrained(long drainStartMs, Subscription check) {
+    long sinceMs = timers.nowMs() - drainStartMs;
     if (sinceMs >= MIN_DRAIN_MS) {
       edge.refuseNew();
     }
@@ -285,39 +290,39 @@
       return;
     }
     check.cancel();
-    Logger.info("left underWay={} tookMs={}", edge.inFlightCount(), sinceMs);
+    Logger.info("drained underWay={} tookMs={}", edge.inFlightCount(), sinceMs);
     timers.after(HAND_BACK_TIMEOUT_MS, () -> drainFuture.complete(null));
     spending.returnUnspentTokens().thenRun(() -> drainFuture.complete(null));
   }
 
   /**
-   * Gives the port for callers.
+   * Returns the port for callers.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int callerPort() {
     return edge.port();
   }
 
   /**
-   * Gives the port for probes.
+   * Returns the port for probes.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int probePort() {
     return probeServer.port();
   }
 
   /**
-   * Gives the port for metrics.
+   * Returns the port for metrics.
    *
-   * @return a TCP port
+   * @return the TCP port
    */
   public int metricsPort() {
     return metricsServer.port();
   }
 
-  /** Closes all sockets at once. */
+  /** Closes all sockets immediately. */
   public void close() {
     edge.close();
     probeServer.close();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ReadyService.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Answers the platform's question whether this instance takes callers. */
+/** Serves the platform's readiness probe. */
 final class ReadyService implements HttpService {
 
   private static final int NOT_FOUND = 404;
@@ -21,9 +21,9 @@
   }
 
   @Override
-  public CompletableFuture<HttpReply> serve(HttpServerRequest input) {
+  public CompletableFuture<HttpReply> serve(HttpServerRequest request) {
     return CompletableFuture.completedFuture(
-        input.path().equals(path)
+        request.path().equals(path)
             ? ReadinessResponse.of(unreadyReason.get())
             : HttpReply.text(NOT_FOUND, "not found\n"));
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/caller/NettyCallerStream.java
@@ -21,7 +21,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Locale;
 
-/** Writes one answer to a caller's connection. */
+/** Writes one response to a caller's connection. */
 final class NettyCallerStream implements CallerStream {
 
   private static final long SECOND_MS = 1_000;
@@ -32,10 +32,10 @@
   private String requestId = "";
   private String key = "";
 
-  NettyCallerStream(Channel channel, boolean keepAlive, Runnable onAnswered) {
+  NettyCallerStream(Channel channel, boolean keepAlive, Runnable onResponseEnd) {
     this.channel = channel;
     this.keepAlive = keepAlive;
-    this.onResponseEnd = onAnswered;
+    this.onResponseEnd = onResponseEnd;
   }
 
   @Override
--- a/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/json/JsonTrees.java
@@ -12,13 +12,13 @@
 import java.util.Iterator;
 import java.util.Map;
 
-/** Turns tokens into trees and trees into tokens. */
+/** Converts between JSON tokens and trees. */
 final class JsonTrees {
 
   private JsonTrees() {}
 
-  /** Reads one value and makes sure that nothing follows it; null for an empty text. */
-  static JsonNode readWhole(JsonParser parser, JsonNodeFactory nodes) throws IOException {
+  /** Reads one value and checks that nothing follows it; returns null for empty input. */
+  static JsonNode readSingleValue(JsonParser parser, JsonNodeFactory nodes) throws IOException {
     if (parser.nextToken() == null) {
       return null;
     }
@@ -34,7 +34,7 @@
       case START_OBJECT -> readObject(parser, nodes);
       case START_ARRAY -> readArray(parser, nodes);
       case VALUE_STRING -> nodes.textNode(parser.getText());
-      case VALUE_NUMBER_INT -> readWholeNumber(parser, nodes);
+      case VALUE_NUMBER_INT -> readInteger(parser, nodes);
       case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDoubleValue());
       case VALUE_TRUE -> nodes.booleanNode(true);
       case VALUE_FALSE -> nodes.booleanNode(false);
@@ -61,8 +61,7 @@
     return array;
   }
 
-  private static JsonNode readWholeNumber(JsonParser parser, JsonNodeFactory nodes)
-      throws IOException {
+  private static JsonNode readInteger(JsonParser parser, JsonNodeFactory nodes) throws IOException {
     return switch (parser.getNumberType()) {
       case INT -> nodes.numberNode(parser.getIntValue());
       case LONG -> nodes.numberNode(parser.getLongValue());
@@ -70,7 +69,7 @@
     };
   }
 
-  /** Writes a value. */
+  /** Writes a value as tokens. */
   static void write(JsonNode node, JsonGenerator generator) throws IOException {
     switch (node.getNodeType()) {
       case OBJECT -> writeObject(node, generator);
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/CrashNoticeCodec.java
@@ -9,16 +9,16 @@
 import io.mothrill.wire.peer.generated.CrashedRequest;
 import java.util.Optional;
 
-/** Writes messages about requests under which upstreams crash, and reads those of others. */
+/** Converts messages about requests that crash upstreams from and to protobuf. */
 final class CrashNoticeCodec {
 
-  /** Longer than any record is kept. */
+  /** One day, which is longer than any record is retained. */
   private static final long MAX_AGE_MS = 86_400_000;
 
-  /** More crashes than any instance keeps of one request. */
+  /** More crashes than an instance keeps for one request. */
   private static final int MAX_CRASHES = 16;
 
-  /** The longest key that a row of the platform's table may have. */
+  /** The maximum length of a row key in the platform's table. */
   private static final int MAX_NAME_CHARS = 200;
 
   private CrashNoticeCodec() {}
@@ -47,12 +47,12 @@
         .build();
   }
 
-  /** Reads a message; empty when no instance can have written it. */
+  /** Parses a message; empty when no instance can have sent it. */
   static Optional<CrashMessage> read(CrashNotice notice) {
-    boolean possible =
+    boolean valid =
         notice.getRequestsCount() <= CrashMessage.MAX_ENTRIES
-            && notice.getRequestsList().stream().allMatch(CrashNoticeCodec::isPossible);
-    return possible
+            && notice.getRequestsList().stream().allMatch(CrashNoticeCodec::isValid);
+    return valid
         ? Optional.of(
             new CrashMessage(
                 notice.getRequestsList().stream().map(CrashNoticeCodec::read).toList(),
@@ -71,18 +71,18 @@
         request.hasClearedAgeMs() ? Optional.of(request.getClearedAgeMs()) : Optional.empty());
   }
 
-  private static boolean isPossible(CrashedRequest request) {
+  private static boolean isValid(CrashedRequest request) {
     return request.getCrashesCount() <= MAX_CRASHES
-        && isPossibleAge(request.getClearedAgeMs())
+        && isValidAge(request.getClearedAgeMs())
         && request.getCrashesList().stream()
             .allMatch(
                 crash ->
-                    isPossibleAge(crash.getAgeMs())
+                    isValidAge(crash.getAgeMs())
                         && crash.getIncarnation().length() <= MAX_NAME_CHARS
                         && crash.getReporter().length() <= MAX_NAME_CHARS);
   }
 
-  private static boolean isPossibleAge(long ageMs) {
+  private static boolean isValidAge(long ageMs) {
     return ageMs >= 0 && ageMs <= MAX_AGE_MS;
   }
 }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/work/WorkMeter.java
@@ -9,8 +9,8 @@
 import io.netty.channel.ChannelPromise;
 
 /**
- * Counts what comes and goes on one connection; the first handler of its pipeline, so that the time
- * of all others is in its figures.
+ * Measures the traffic and processing time of one connection. It must be the first handler of the
+ * pipeline, so that the processing time of all other handlers is included.
  */
 public final class WorkMeter extends ChannelDuplexHandler {
 
@@ -18,10 +18,10 @@
   private final WorkKind kind;
 
   /**
-   * Creates a meter.
+   * Creates the handler.
    *
-   * @param work gets the figures
-   * @param kind what the connection is for
+   * @param work records the measurements
+   * @param kind the kind of work of the connection
    */
   public WorkMeter(WorkStats work, WorkKind kind) {
     this.work = work;
@@ -46,10 +46,10 @@
     ctx.write(message, promise);
   }
 
-  private void timed(Runnable turn) {
-    long beganNanos = System.nanoTime();
-    turn.run();
-    work.onTurn(kind, System.nanoTime() - beganNanos);
+  private void timed(Runnable task) {
+    long startNanos = System.nanoTime();
+    task.run();
+    work.onTurn(kind, System.nanoTime() - startNanos);
   }
 
   private static long bytesOf(Object message) {
