--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineBatch.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineBatch.java
@@ -13,7 +13,10 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Batches sequences continuously: a new one joins as soon as a slot is free, urgent ones first. */
+/**
+ * Runs sequences with continuous batching: a queued sequence starts as soon as a slot is free,
+ * urgent ones first.
+ */
 final class EngineBatch {
 
   private final EngineSettings settings;
@@ -47,7 +50,7 @@
     enqueue(sequence);
   }
 
-  /** Goes on with a stream that was broken off; it counts as the same run. */
+  /** Resumes an interrupted stream; this is not counted as another run. */
   synchronized void resume(Sequence sequence) {
     enqueue(sequence);
   }
@@ -94,7 +97,7 @@
     reported = new LoadReport(running.size(), urgent.size() + batch.size(), false, timers.nowMs());
   }
 
-  /** The load as it was a while ago. */
+  /** Returns the last sampled load, which is up to {@code loadLagMs} old. */
   LoadReport load() {
     return reported;
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineCommand.java
@@ -4,7 +4,7 @@
 import io.netty.channel.EventLoopGroup;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab engine}: a model engine's stand-in as a process of its own. */
+/** {@code mothrill lab engine}: runs a stand-in for a model engine as a separate process. */
 public final class EngineCommand extends StandInCommand {
 
   @Option(name = "--slots", metaVar = "N", usage = "sequences batched at once (default 16)")
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What an engine stand-in does wrong. */
+/** Faults injected into an engine stand-in. */
 public final class EngineFaults {
 
   private final AtomicInteger silentCalls = new AtomicInteger();
@@ -11,36 +11,36 @@
   private volatile boolean leaving;
 
   /**
-   * Lets the next calls go unanswered, though their connections stay open.
+   * Leaves the next calls without a response while their connections stay open.
    *
-   * @param calls how many
+   * @param calls the number of calls
    */
   public void fallSilent(int calls) {
     silentCalls.set(calls);
   }
 
   /**
-   * Answers the next calls under another request's id.
+   * Answers the next calls with the id of another request.
    *
-   * @param calls how many
+   * @param calls the number of calls
    */
   public void crossAnswers(int calls) {
     crossedCalls.set(calls);
   }
 
   /**
-   * Lets answers be longer than their cap.
+   * Generates more tokens than a call's output limit allows.
    *
-   * @param tokens by how many tokens
+   * @param tokens the number of tokens beyond the limit
    */
   public void exceedCap(int tokens) {
     extraTokens.set(tokens);
   }
 
   /**
-   * Refuses new calls as not run, because the engine is leaving.
+   * Sets whether the engine announces that it is leaving and refuses new calls as not run.
    *
-   * @param now true from now on
+   * @param now true to refuse new calls
    */
   public void leave(boolean now) {
     leaving = now;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineHandler.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineHandler.java
@@ -27,10 +27,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One connection to the engine stand-in. */
+/** Handles one connection to the engine stand-in. */
 final class EngineHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-  /** A prompt may say how long its answer is, so that answers shorter than the cap occur. */
+  /** A prompt may set the length of its answer, so that answers shorter than the limit occur. */
   private static final Pattern WANTED_TOKENS = Pattern.compile("\\[tokens=(\\d+)]");
 
   private static final String STREAMS = "/v1/streams/";
@@ -75,7 +75,7 @@
     batch.add(current);
   }
 
-  /** Serves {@code GET /v1/streams/{requestId}?from=N}: the stream from token N on. */
+  /** Serves {@code GET /v1/streams/{requestId}?from=N}: resumes the stream at token N. */
   private void resume(ChannelHandlerContext ctx, String uri) {
     QueryStringDecoder query = new QueryStringDecoder(uri);
     String requestId = query.path().substring(STREAMS.length());
@@ -147,7 +147,7 @@
         .put("total_tokens", promptTokens + emittedTokens);
   }
 
-  /** Writes a sequence to the connection. */
+  /** Writes the tokens of a sequence to the connection. */
   private abstract static class Answer implements Sequence.SequenceOutput {
     final ChannelHandlerContext ctx;
     final String requestId;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineServer.java
@@ -8,11 +8,12 @@
 import java.util.Map;
 
 /**
- * A stand-in for a model engine, over the usual chat completions interface.
+ * A stand-in for a model engine, with a chat completions API.
  *
- * <p>It batches continuously in limited slots, honours priorities, remembers prompts, streams one
- * token a step, cancels what nobody reads, reports its load with a lag, and can leave, fall silent
- * or give crossed answers.
+ * <p>It uses continuous batching with a limited number of slots, honours priorities, caches prompt
+ * prefixes, streams one token per step, cancels a sequence when its caller disconnects and reports
+ * its load with a lag. {@link EngineFaults} makes it announce that it is leaving, stop responding,
+ * answer with the id of another request or exceed the output limit.
  */
 public final class EngineServer {
 
@@ -26,10 +27,10 @@
    * Starts an engine.
    *
    * @param group the event loops
-   * @param timers the time
-   * @param host an IP address
-   * @param port a TCP port; 0 for any
-   * @param settings how it works
+   * @param timers the clock and timers
+   * @param host the IP address to listen on
+   * @param port the TCP port; 0 for any free port
+   * @param settings the settings of the engine
    */
   public EngineServer(
       EventLoopGroup group, Timers timers, String host, int port, EngineSettings settings) {
@@ -45,16 +46,16 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port on which the server listens.
    *
-   * @return the port that is listened on
+   * @return the TCP port
    */
   public int port() {
     return server.port();
   }
 
   /**
-   * Gives the switches for its faults.
+   * Returns the faults that can be injected into this engine.
    *
    * @return the faults
    */
@@ -63,24 +64,24 @@
   }
 
   /**
-   * Counts the tokens generated so far.
+   * Returns the number of tokens generated so far.
    *
-   * @return tokens
+   * @return the number of tokens
    */
   public long tokens() {
     return batch.tokens();
   }
 
   /**
-   * Counts how often each request was run.
+   * Returns how often each request was run.
    *
-   * @return runs by request id
+   * @return the number of runs by request id
    */
   public Map<String, Integer> runs() {
     return batch.runs();
   }
 
-  /** Stops at once, as a crash would. */
+  /** Stops immediately, as in a crash. */
   public void close() {
     server.close();
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineSettings.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineSettings.java
@@ -1,21 +1,21 @@
 package io.mothrill.lab.standin;
 
 /**
- * How the engine stand-in works.
+ * Settings of the engine stand-in.
  *
- * @param slots how many sequences it batches
- * @param stepMs how long one step of the batch takes; each sequence gets one token a step
- * @param prefillTokensPerStep how many prompt tokens are read in one step
- * @param cachePrefixes how many prompts' prefixes it remembers
- * @param loadLagMs how old the load is that it reports
+ * @param slots the maximum number of sequences in the batch
+ * @param stepMs the duration of one step of the batch; each sequence generates one token per step
+ * @param prefillTokensPerStep the number of prompt tokens processed per prefill step
+ * @param cachePrefixes the number of prompts in the prefix cache
+ * @param loadLagMs the interval between two samples of the load that the engine reports
  */
 public record EngineSettings(
     int slots, long stepMs, int prefillTokensPerStep, int cachePrefixes, long loadLagMs) {
 
   /**
-   * Gives settings for a small engine.
+   * Returns the settings of a small engine.
    *
-   * @return sixteen slots and five milliseconds a step
+   * @return settings with 16 slots and 5 ms per step
    */
   public static EngineSettings small() {
     return new EngineSettings(16, 5, 512, 64, 100);
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineText.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineText.java
@@ -6,10 +6,10 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The text that the engine stand-in makes of a prompt.
+ * Generates the text with which the engine stand-in answers a prompt.
  *
- * <p>Each token follows from the prompt and its place alone, so whoever sent the prompt can check
- * that an answer is whole and its own.
+ * <p>Each token depends only on the prompt and the token's index, so the sender of the prompt can
+ * check that an answer is complete and belongs to its request.
  */
 public final class EngineText {
 
@@ -18,11 +18,11 @@
   private EngineText() {}
 
   /**
-   * Makes one token.
+   * Generates one token.
    *
    * @param prompt the prompt
-   * @param index the token's place, from 0
-   * @return five characters
+   * @param index the index of the token, from 0
+   * @return the token, five characters long
    */
   public static String token(String prompt, int index) {
     byte[] seed = (prompt + '#' + index).getBytes(StandardCharsets.UTF_8);
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Makes a whole answer.
+   * Generates a complete answer.
    *
    * @param prompt the prompt
-   * @param tokens how many tokens
+   * @param tokens the number of tokens
    * @return the text
    */
   public static String answer(String prompt, int tokens) {
@@ -43,10 +43,10 @@
   }
 
   /**
-   * Counts the tokens of a prompt.
+   * Returns the number of tokens of a prompt.
    *
    * @param prompt the prompt
-   * @return tokens
+   * @return the number of tokens
    */
   public static int promptTokens(String prompt) {
     return 1 + prompt.length() / CHARS_PER_TOKEN;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainCommand.java
@@ -4,7 +4,7 @@
 import io.netty.channel.EventLoopGroup;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab plain}: a plain service's stand-in as a process of its own. */
+/** {@code mothrill lab plain}: runs a stand-in for a plain service as a separate process. */
 public final class PlainCommand extends StandInCommand {
 
   @Option(name = "--work-ms", metaVar = "MS", usage = "how long one call takes (default 5)")
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlainServer.java
@@ -16,7 +16,7 @@
 /**
  * A stand-in for a plain service, such as one that calls queue tickets.
  *
- * <p>It counts how often each body was served, so that a ticket called twice is seen.
+ * <p>It counts how often each body was served, so that a ticket that is called twice is detected.
  */
 public final class PlainServer implements HttpService {
 
@@ -31,10 +31,10 @@
    * Starts a service.
    *
    * @param group the event loops
-   * @param timers the time
-   * @param host an IP address
-   * @param port a TCP port; 0 for any
-   * @param workMs how long one call takes
+   * @param timers the clock and timers
+   * @param host the IP address to listen on
+   * @param port the TCP port; 0 for any free port
+   * @param workMs the duration of one call
    */
   public PlainServer(EventLoopGroup group, Timers timers, String host, int port, long workMs) {
     this.timers = timers;
@@ -43,24 +43,24 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port on which the server listens.
    *
-   * @return the port that is listened on
+   * @return the TCP port
    */
   public int port() {
     return server.port();
   }
 
   /**
-   * Counts how often each body was served.
+   * Returns how often each body was served.
    *
-   * @return counts by body
+   * @return the counts by body
    */
   public Map<String, Integer> served() {
     return Map.copyOf(served);
   }
 
-  /** Stops at once, as a crash would. */
+  /** Stops immediately, as in a crash. */
   public void close() {
     server.close();
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformCommand.java
@@ -3,7 +3,7 @@
 import io.mothrill.wire.time.NettyTimers;
 import io.netty.channel.EventLoopGroup;
 
-/** {@code mothrill lab platform}: the platform's stand-in as a process of its own. */
+/** {@code mothrill lab platform}: runs a stand-in for the platform as a separate process. */
 public final class PlatformCommand extends StandInCommand {
 
   @Override
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
@@ -20,9 +20,11 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's services over HTTP: table, object store and instance list, each with faults.
+ * Serves a stand-in of the platform over HTTP: a table, an object store and an instance list, each
+ * with fault injection.
  *
- * <p>{@code POST /faults {"table": "DOWN"}} and {@code {"delayMs": 200}} set the faults.
+ * <p>{@code POST /faults} sets the faults, with a body such as {@code {"table": "DOWN"}} or {@code
+ * {"delayMs": 200}}.
  */
 public final class PlatformServer implements HttpService {
 
@@ -37,12 +39,12 @@
   private final HttpServer server;
 
   /**
-   * Starts the platform.
+   * Starts the server.
    *
    * @param group the event loops
-   * @param timers the time
-   * @param host an IP address
-   * @param port a TCP port; 0 for any
+   * @param timers the clock and timers
+   * @param host the IP address to listen on
+   * @param port the TCP port; 0 for any free port
    */
   public PlatformServer(EventLoopGroup group, Timers timers, String host, int port) {
     this.table = new FakeTable(timers);
@@ -52,16 +54,16 @@
   }
 
   /**
-   * Gives the port.
+   * Returns the port on which the server listens.
    *
-   * @return the port that is listened on
+   * @return the TCP port
    */
   public int port() {
     return server.port();
   }
 
   /**
-   * Gives the table behind the server.
+   * Returns the table behind the server.
    *
    * @return the table
    */
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
@@ -1,6 +1,6 @@
 package io.mothrill.lab.standin;
 
-/** One call inside the engine stand-in. */
+/** The token generation of one call in the engine stand-in. */
 final class Sequence {
 
   private final String requestId;
@@ -20,7 +20,7 @@
     this.output = output;
   }
 
-  /** Where a sequence's tokens go. */
+  /** Receives the tokens of a sequence. */
   interface SequenceOutput {
 
     void token(String text, int promptTokens, int emittedTokens);
@@ -52,7 +52,7 @@
     return maxTokens;
   }
 
-  /** Goes on behind a token that was sent before; the prompt is still cached. */
+  /** Resumes the sequence at a token index; the prompt is still in the prefix cache. */
   Sequence resumeAt(int token) {
     emitted = token;
     return this;
@@ -70,7 +70,7 @@
     prefillSteps = steps;
   }
 
-  /** Does one step and says whether the sequence goes on. */
+  /** Runs one step and returns whether the sequence continues. */
   boolean step() {
     if (cancelled) {
       return false;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/StandInCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/StandInCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.kohsuke.args4j.Option;
 
-/** What all commands that run a stand-in until it is ended have in common. */
+/** Base class of the commands that run a stand-in until the process is terminated. */
 abstract class StandInCommand implements Command {
 
   @Option(name = "--host", metaVar = "IP", usage = "where to listen (default 127.0.0.1)")
@@ -26,6 +26,6 @@
     return OK;
   }
 
-  /** Starts the stand-in and gives its port. */
+  /** Starts the stand-in and returns its port. */
   abstract int start(EventLoopGroup group, NettyTimers timers, String listenHost, int listenPort);
 }
