--- a/mothrill-lab/src/main/java/io/mothrill/lab/LabProgram.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/LabProgram.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The programs {@code mothrill demo} and {@code mothrill lab}. */
+/** The main class of {@code mothrill demo} and {@code mothrill lab}. */
 public final class LabProgram {
 
   private static final Map<String, Supplier<Command>> COMMANDS =
@@ -32,7 +32,7 @@
   /**
    * Runs a command.
    *
-   * @param args {@code demo}, or {@code lab} with a command's name and its arguments
+   * @param args {@code demo}, or {@code lab} followed by a command name and its arguments
    */
   public static void main(String[] args) {
     boolean lab = args.length > 0 && args[0].equals("lab");
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutInstanceList.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutInstanceList.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** An instance list that cannot be reached while the network is cut. */
+/** An instance list that is unreachable while the network is partitioned. */
 final class CutInstanceList implements InstanceList {
 
   private final InstanceList list;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutTable.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutTable.java
@@ -10,7 +10,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** A table that cannot be reached while the network is cut. */
+/** A table that is unreachable while the network is partitioned. */
 final class CutTable implements TableService {
 
   private final TableService table;
@@ -25,7 +25,7 @@
       BooleanSupplier open, Supplier<CompletableFuture<T>> call) {
     return open.getAsBoolean()
         ? call.get()
-        : CompletableFuture.failedFuture(PlatformException.unreachable("network cut"));
+        : CompletableFuture.failedFuture(PlatformException.unreachable("network partition"));
   }
 
   @Override
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
@@ -34,7 +34,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A few nodes in memory whose time, network, platform and upstreams the caller holds in hand.
+ * An in-memory cluster of nodes whose clock, network, platform and upstreams are under the control
+ * of the caller.
  *
  * <pre>{@code
  * Fleet fleet = new Fleet(NodeSettings.standard(), 42);
@@ -62,8 +63,8 @@
   /**
    * Creates a fleet without nodes.
    *
-   * @param settings how its nodes decide
-   * @param seed makes every random choice, so that a run can be repeated
+   * @param settings the settings of its nodes
+   * @param seed the seed of all random choices, which makes a run reproducible
    */
   public Fleet(NodeSettings settings, long seed) {
     this.settings = settings;
@@ -71,9 +72,9 @@
   }
 
   /**
-   * Starts a node; an earlier one of that name must be dead or gone.
+   * Starts a node; an earlier node with the same id must have been killed.
    *
-   * @param id the instance's name
+   * @param id the id of the instance
    * @param domain its failure domain
    * @return the node
    */
@@ -116,14 +117,14 @@
     };
   }
 
-  /** An upstream behind a cut shows no end. */
+  /** The end of an upstream beyond a network partition is not detected. */
   private CompletableFuture<Boolean> endOf(Network.Place from, RegisteredUpstream upstream) {
     Network.Place at = Network.Place.of(upstream.host(), upstream.domain());
     return CompletableFuture.completedFuture(
         network.reaches(from, at) && upstream(upstream.host()).isDown());
   }
 
-  /** Carries a message that is neither confirmed nor repeated. */
+  /** Delivers a crash message, which is neither acknowledged nor retransmitted. */
   private void report(InstanceRecord from, CrashMessage message, InstanceRecord to) {
     FleetNode target = nodes.get(to.id());
     Network.Place place = Network.Place.of(from.id(), from.domain());
@@ -135,7 +136,7 @@
   }
 
   /**
-   * Gives an upstream; it comes to be when it is first named.
+   * Returns an upstream, which is created when it is first requested.
    *
    * @param name the name, which is also its host
    * @return the upstream
@@ -145,18 +146,19 @@
   }
 
   /**
-   * Lists the upstreams.
+   * Returns the upstreams.
    *
-   * @return the upstreams that were named so far
+   * @return the upstreams created so far
    */
   public List<MemoryUpstream> upstreams() {
     return List.copyOf(upstreams.values());
   }
 
   /**
-   * Declares a resource directly at the platform, as an operator elsewhere would.
+   * Declares a resource directly in the platform's table, as an operator would through an instance
+   * outside the fleet.
    *
-   * @param name the resource's name
+   * @param name the name of the resource
    * @param spec the spec
    */
   public void declare(String name, Spec spec) {
@@ -176,9 +178,9 @@
   /**
    * Sends a request to a node.
    *
-   * @param id the instance's name
+   * @param id the id of the instance
    * @param request the request
-   * @return the caller
+   * @return the caller, which records the answer
    */
   public MemoryCaller call(String id, CallRequest request) {
     FleetNode node = nodes.get(id);
@@ -188,19 +190,19 @@
   }
 
   /**
-   * Lets time pass.
+   * Advances the clock and runs the tasks that become due.
    *
-   * @param durationMs milliseconds
+   * @param durationMs the duration in milliseconds
    */
   public void advanceMs(long durationMs) {
     timers.advanceMs(durationMs);
   }
 
   /**
-   * Finds a node.
+   * Returns a node.
    *
-   * @param id the instance's name
-   * @return the node started last under that name
+   * @param id the id of the instance
+   * @return the node that was last started with that id
    */
   public FleetNode node(String id) {
     return Optional.ofNullable(nodes.get(id))
@@ -208,16 +210,16 @@
   }
 
   /**
-   * Lists the nodes.
+   * Returns the nodes.
    *
-   * @return the nodes in order of their names, dead ones too
+   * @return the nodes in the order of their ids, including killed ones
    */
   public List<FleetNode> nodes() {
     return List.copyOf(nodes.values());
   }
 
   /**
-   * Gives the network.
+   * Returns the network.
    *
    * @return the network
    */
@@ -226,30 +228,30 @@
   }
 
   /**
-   * Says whether messages get from one node to another.
+   * Checks whether messages from one node reach another.
    *
-   * @param from the one node
-   * @param to the other node
-   * @return true when no cut lies between them
+   * @param from the sending node
+   * @param to the receiving node
+   * @return true when no partition separates them
    */
   public boolean reaches(FleetNode from, FleetNode to) {
     return network.reaches(from.place(), to.place());
   }
 
   /**
-   * Says whether a node reaches the platform.
+   * Checks whether a node reaches the platform.
    *
    * @param from the node
-   * @return true when no cut lies between them
+   * @return true when no partition separates them
    */
   public boolean reachesPlatform(FleetNode from) {
     return network.reaches(from.place(), Network.Place.of(Network.PLATFORM));
   }
 
   /**
-   * Reads a row past all faults.
+   * Reads a row, bypassing all injected faults.
    *
-   * @param key the row's address
+   * @param key the key of the row
    * @return the row
    */
   public Row readNow(RowKey key) {
@@ -257,7 +259,7 @@
   }
 
   /**
-   * Gives the platform's table.
+   * Returns the table of the platform.
    *
    * @return the table
    */
@@ -266,9 +268,9 @@
   }
 
   /**
-   * Takes the platform down for everyone, or brings it back.
+   * Sets the fault of the platform for all nodes.
    *
-   * @param fault what happens to calls
+   * @param fault the fault; {@link Fault#NONE} ends an outage
    */
   public void failPlatform(Fault fault) {
     platformFault = fault;
@@ -278,25 +280,25 @@
   }
 
   /**
-   * Gives the time.
+   * Returns the manual timers.
    *
-   * @return the timers that all nodes live by
+   * @return the clock and timers that all nodes share
    */
   public ManualTimers timers() {
     return timers;
   }
 
   /**
-   * Counts the messages between nodes.
+   * Returns the number of messages between nodes.
    *
-   * @return messages sent since the start
+   * @return the number of messages sent since the start
    */
   public long messageCount() {
     return links.sentCount();
   }
 
   /**
-   * Checks the platform's books.
+   * Audits the budgets and bills in the platform's table, bypassing all injected faults.
    *
    * @return the report
    */
@@ -304,7 +306,7 @@
     return new Auditor(table.withFaults(new FaultInjector(timers))).audit().join();
   }
 
-  /** One node's way to the platform. */
+  /** The access of one node to the platform. */
   private record PlatformWay(Network network, Network.Place place, FaultInjector way) {
 
     private boolean isOpen() {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
@@ -4,7 +4,7 @@
 import io.mothrill.core.node.Node;
 import io.mothrill.core.platform.InstanceRecord;
 
-/** One node of a fleet, with the switches of its process. */
+/** A node of a fleet, with control over its simulated process. */
 public final class FleetNode {
 
   private final InstanceRecord record;
@@ -20,7 +20,7 @@
   }
 
   /**
-   * Gives the instance's record.
+   * Returns the record of the instance.
    *
    * @return the record
    */
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Gives the decisions.
+   * Returns the node itself.
    *
    * @return the node
    */
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Gives the faults of this node's way to the platform.
+   * Returns the faults that are injected between this node and the platform.
    *
    * @return the faults
    */
@@ -46,23 +46,23 @@
     return platformWay;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   public void kill() {
     clock.kill();
   }
 
-  /** Stops the process without ending it. */
+  /** Suspends the process, as SIGSTOP does. */
   public void freeze() {
     clock.freeze();
   }
 
-  /** Lets the process go on. */
+  /** Resumes the process. */
   public void thaw() {
     clock.thaw();
   }
 
   /**
-   * Says whether the process has ended.
+   * Checks whether the process was killed.
    *
    * @return true after {@link #kill}
    */
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** A caller in memory, which remembers what it saw. */
+/** An in-memory caller that records what it receives. */
 public final class MemoryCaller implements CallerStream {
 
   private final NodeClock clock;
@@ -59,25 +59,25 @@
   }
 
   /**
-   * Gives the run's id.
+   * Returns the request id.
    *
-   * @return the id, empty before it is known
+   * @return the id; empty before it is known
    */
   public String requestId() {
     return requestId;
   }
 
   /**
-   * Gives the key under which to ask again.
+   * Returns the key with which the request can be repeated.
    *
-   * @return the key, empty before it is known
+   * @return the key; empty before it is known
    */
   public String key() {
     return key;
   }
 
   /**
-   * Gives what was refused.
+   * Returns the refusal.
    *
    * @return the refusal, or empty
    */
@@ -86,16 +86,16 @@
   }
 
   /**
-   * Gives the answer's body so far.
+   * Returns the part of the answer's body received so far.
    *
-   * @return the text
+   * @return the body as text
    */
   public String body() {
     return body.toString(StandardCharsets.UTF_8);
   }
 
   /**
-   * Says in a word how it stands.
+   * Returns the state of the call.
    *
    * @return {@code served}, {@code aborted}, {@code lost}, {@code waiting}, or the refusal's code
    */
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryLinks.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryLinks.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** Carries messages between nodes in memory, each way taking a millisecond. */
+/** In-memory links between nodes, with a latency of 1 ms in each direction. */
 final class MemoryLinks {
 
   private static final long ONE_WAY_MS = 1;
@@ -35,7 +35,7 @@
     return sentCount;
   }
 
-  /** Gives one node's way to its peers. */
+  /** Returns the links from one node to its peers. */
   PeerLinks of(Network.Place from, NodeClock clock) {
     return (peer, request, timeoutMs) -> ask(from, clock, peer, request, timeoutMs);
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An upstream in memory: answers a call in steps, and counts how often each body was run. */
+/** An in-memory upstream that answers calls in several steps and counts the runs of each body. */
 public final class MemoryUpstream {
 
   private static final int STEPS = 4;
 
-  /** An upstream that ended is started again in this time. */
+  /** The time after which a crashed upstream restarts. */
   private static final long BACK_MS = 3_000;
 
   private final Map<String, Integer> runsByBody = new HashMap<>();
@@ -30,23 +30,23 @@
   private Optional<String> deadlyBody = Optional.empty();
 
   /**
-   * Chooses how long a call takes.
+   * Sets the duration of a call.
    *
-   * @param newWorkMs milliseconds from the first byte of the call to the last of the answer
+   * @param newWorkMs the time from the start of the call to the end of the answer, in milliseconds
    */
   public void work(long newWorkMs) {
     workMs = newWorkMs;
   }
 
-  /** Stops: calls under way break, new ones cannot connect. */
+  /** Crashes: calls in flight fail and new connections are refused. */
   public void kill() {
     down = true;
     List.copyOf(running).forEach(run -> run.fail(Kind.BROKEN, "connection reset"));
   }
 
   /**
-   * Chooses a body under which the upstream ends whenever it begins to run it; it is back after
-   * some seconds.
+   * Sets a body that crashes the upstream whenever it runs it; the upstream restarts 3 seconds
+   * later.
    *
    * @param body the body
    */
@@ -55,44 +55,44 @@
   }
 
   /**
-   * Says whether it refuses connections.
+   * Checks whether the upstream refuses connections.
    *
-   * @return true between its end and its next start
+   * @return true between a crash and the next restart
    */
   boolean isDown() {
     return down;
   }
 
-  /** Starts again. */
+  /** Restarts the upstream after a crash and makes it respond again. */
   public void restart() {
     down = false;
     silent = false;
   }
 
-  /** Falls silent: calls are run, but no answer comes back. */
+  /** Stops responding: calls are run, but no answer is sent. */
   public void fallSilent() {
     silent = true;
   }
 
-  /** Refuses new calls as not run, because it is leaving. */
+  /** Announces that it is leaving and refuses new calls as not run. */
   public void leave() {
     leaving = true;
   }
 
   /**
-   * Counts how often a body was run.
+   * Returns how often a body was run.
    *
    * @param body the body
-   * @return runs, whole or not
+   * @return the number of runs, including incomplete ones
    */
   public int runsOf(String body) {
     return runsByBody.getOrDefault(body, 0);
   }
 
   /**
-   * Counts the calls under way.
+   * Returns the number of calls in flight.
    *
-   * @return calls
+   * @return the number of calls
    */
   public int runningCount() {
     return running.size();
@@ -113,7 +113,7 @@
     return run;
   }
 
-  /** Answers a call that the network does not carry. */
+  /** Fails a call to an upstream that the network does not reach. */
   static UpstreamExchange unreachable(
       UpstreamCall call, UpstreamListener listener, NodeClock clock) {
     MemoryUpstream nowhere = new MemoryUpstream();
@@ -187,11 +187,11 @@
 
     @Override
     public void setReading(boolean reading) {
-      // Answers are small here; nothing piles up.
+      // The answers are too small for backpressure to matter.
     }
   }
 
-  /** A body may say how long its answer is: {@code ... tokens=40}. */
+  /** Returns the length of the answer, which a body may set: {@code ... tokens=40}. */
   private static long wantedTokens(String body) {
     int at = body.lastIndexOf("tokens=");
     return at < 0 ? Long.MAX_VALUE : Long.parseLong(body.substring(at + "tokens=".length()));
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Network.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Network.java
@@ -3,10 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Which places can reach each other; a place is an instance, a failure domain or the platform. */
+/** A simulated network that can be partitioned between instances, failure domains and the platform. */
 public final class Network {
 
-  /** The platform as a place. */
+  /** The name of the platform's location. */
   public static final String PLATFORM = "platform";
 
   private final Set<Cut> cuts = new HashSet<>();
@@ -14,10 +14,10 @@
   private record Cut(String one, String other) {}
 
   /**
-   * Cuts two places off from each other.
+   * Partitions two locations from each other.
    *
    * @param one an instance, a failure domain or the platform
-   * @param other the other place
+   * @param other the other location
    */
   public void cut(String one, String other) {
     cuts.add(new Cut(one, other));
@@ -25,17 +25,17 @@
   }
 
   /**
-   * Joins two places again.
+   * Removes the partition between two locations.
    *
    * @param one an instance, a failure domain or the platform
-   * @param other the other place
+   * @param other the other location
    */
   public void heal(String one, String other) {
     cuts.remove(new Cut(one, other));
     cuts.remove(new Cut(other, one));
   }
 
-  /** Joins all places again. */
+  /** Removes all partitions. */
   public void healAll() {
     cuts.clear();
   }
@@ -46,7 +46,7 @@
             one -> to.names().stream().anyMatch(other -> cuts.contains(new Cut(one, other))));
   }
 
-  /** Where something stands: the names under which it can be cut off. */
+  /** A location in the network: all names under which a partition can include it. */
   record Place(Set<String> names) {
 
     static Place of(String... names) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/NodeClock.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/NodeClock.java
@@ -7,10 +7,11 @@
 import java.util.Deque;
 
 /**
- * One process's view of time: it can be frozen, and it ends with the process.
+ * The clock and timers of one simulated process, which can be suspended and killed.
  *
- * <p>While a process is frozen its clock goes on, but nothing of it runs; what fell due runs when
- * it wakes up, as with a process that was stopped or a machine that was suspended.
+ * <p>While a process is suspended, its clock advances but its tasks do not run. One-time tasks that
+ * became due meanwhile run on resume, as after SIGSTOP or the suspension of a machine; periodic
+ * tasks skip these runs.
  */
 final class NodeClock implements Timers {
 
@@ -43,7 +44,7 @@
     return timers.every(periodMs, () -> runPeriodic(task));
   }
 
-  /** Runs something inside the process: at once, when it wakes up, or never. */
+  /** Runs a task in the process: immediately, on resume when suspended, or never when killed. */
   void run(Runnable task) {
     if (dead) {
       return;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Nodes in memory, with a network, a platform and upstreams that fail on demand. */
+/** An in-memory cluster of nodes with fault injection into network, platform and upstreams. */
 package io.mothrill.lab.fleet;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins of what mothrill serves, with a load and experiment tool. */
+/** Stand-ins for the systems around mothrill, with tools for load, scenarios and experiments. */
 package io.mothrill.lab;
