--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/Call.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/Call.java
@@ -1,16 +1,16 @@
 package io.mothrill.lab.load;
 
 /**
- * One call of a checking caller.
+ * A call to a model whose answer is checked.
  *
  * @param team the team
  * @param key the team's key
  * @param model the model
  * @param prompt the prompt
- * @param maxTokens the output cap
+ * @param maxTokens the output limit
  * @param streamed whether the answer is streamed
- * @param priority {@code urgent}, {@code batch}, or empty for the service's own
- * @param idempotencyKey the caller's key; empty for none
+ * @param priority {@code urgent}, {@code batch}, or empty for the default of the service
+ * @param idempotencyKey the idempotency key; empty for none
  */
 public record Call(
     String team,
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/CallResult.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/CallResult.java
@@ -1,16 +1,16 @@
 package io.mothrill.lab.load;
 
 /**
- * What came of a call.
+ * The result of a call.
  *
  * @param call the call
- * @param status the HTTP status; 0 when the connection failed
- * @param code the error's code; empty when there was none
- * @param requestId the id that came with the first bytes; empty when none came
- * @param whole true when the answer was whole and the call's own
- * @param billableTokens what the answer said it used
- * @param firstByteMs from the planned start to the first part of the answer
- * @param lastByteMs from the planned start to the end
+ * @param status the HTTP status; 0 if the connection failed
+ * @param code the error code, or the detail of a connection failure; empty if there was none
+ * @param requestId the request id from the response headers; empty if there was none
+ * @param whole whether the answer is complete and belongs to the call
+ * @param billableTokens the token usage reported in the answer
+ * @param firstByteMs the time from the scheduled start to the first byte of the body
+ * @param lastByteMs the time from the scheduled start to the end of the answer
  */
 public record CallResult(
     Call call,
@@ -23,9 +23,9 @@
     double lastByteMs) {
 
   /**
-   * Says whether the caller got what it asked for.
+   * Checks whether the call was served.
    *
-   * @return true for a whole answer
+   * @return true if the answer is complete and belongs to the call
    */
   public boolean isServed() {
     return status == 200 && whole;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/CheckingCaller.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/CheckingCaller.java
@@ -19,7 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 
-/** Sends calls and checks that each answer is whole and the call's own. */
+/** Sends calls and checks that each answer is complete and belongs to its call. */
 public final class CheckingCaller {
 
   private static final long STALL_MS = 60_000;
@@ -39,10 +39,11 @@
   /**
    * Sends a call.
    *
-   * @param to an instance, or an engine
+   * @param to the address of an instance or an engine
    * @param call the call
-   * @param plannedNanos when it was due, by {@link System#nanoTime()}; latencies count from there
-   * @return what came of it; never fails
+   * @param plannedNanos the scheduled start, by {@link System#nanoTime()}, from which latencies are
+   *     measured
+   * @return the result; never completes exceptionally
    */
   public CompletableFuture<CallResult> send(Address to, Call call, long plannedNanos) {
     Sink sink = new Sink(call, plannedNanos);
@@ -146,7 +147,7 @@
     }
   }
 
-  /** What stands in an answer's body. */
+  /** The parsed body of an answer. */
   private record AnswerText(String text, int tokens, long usedTokens, boolean done, String code) {
 
     static AnswerText read(byte[] body, boolean streamed) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/Latencies.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/Latencies.java
@@ -5,13 +5,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Percentiles of a set of calls.
+ * Latency percentiles of a set of calls.
  *
- * @param count how many calls
- * @param p50Ms half of them took at most this
- * @param p99Ms ninety-nine in a hundred took at most this
- * @param p999Ms nine hundred and ninety-nine in a thousand took at most this
- * @param maxMs the slowest took this
+ * @param count the number of calls
+ * @param p50Ms the median
+ * @param p99Ms the 99th percentile
+ * @param p999Ms the 99.9th percentile
+ * @param maxMs the maximum
  */
 public record Latencies(long count, double p50Ms, double p99Ms, double p999Ms, double maxMs) {
 
@@ -19,10 +19,10 @@
   private static final int DIGITS = 3;
 
   /**
-   * Sums up calls.
+   * Computes the percentiles of a set of calls.
    *
-   * @param results the calls
-   * @param latencyMs which latency of theirs
+   * @param results the results of the calls
+   * @param latencyMs returns the latency of a result
    * @return the percentiles
    */
   public static Latencies of(
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/LoadCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/LoadCommand.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab load}: sends checked calls on schedule and prints their latencies. */
+/** {@code mothrill lab load}: sends calls on a fixed schedule, checks the answers and prints the latencies. */
 public final class LoadCommand implements Command {
 
   @Option(
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/Schedule.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/Schedule.java
@@ -9,10 +9,10 @@
 import java.util.function.Supplier;
 
 /**
- * Sends calls on schedule, whether or not earlier ones were answered.
+ * Sends calls on a fixed schedule, whether or not earlier ones were answered (open loop).
  *
- * <p>Latencies count from the time that a call was due, so a stalled server cannot hide its queue
- * by slowing down the caller.
+ * <p>Latencies are measured from the scheduled start of a call, so that a stalled server cannot
+ * hide its queueing delay by slowing down the caller (coordinated omission).
  */
 public final class Schedule {
 
@@ -21,19 +21,19 @@
   /**
    * Creates the schedule.
    *
-   * @param caller sends the calls
+   * @param caller the caller that sends the calls
    */
   public Schedule(CheckingCaller caller) {
     this.caller = caller;
   }
 
   /**
-   * Sends a number of calls at a steady pace, and waits for all answers.
+   * Sends calls at a constant rate and waits for all answers.
    *
-   * @param calls makes the call with a given number, from 0
-   * @param count how many calls
-   * @param perSecond the pace
-   * @param targets gives the instance for the next call
+   * @param calls creates the call with a given number, from 0
+   * @param count the number of calls
+   * @param perSecond the number of calls per second
+   * @param targets returns the address for the next call
    * @return the results, in the order of the calls
    */
   public List<CallResult> run(
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Sends a number of calls at a steady pace.
+   * Sends calls at a constant rate.
    *
-   * @param calls makes the call with a given number, from 0
-   * @param count how many calls
-   * @param perSecond the pace
-   * @param targets gives the instance for the next call
-   * @return the results to come, in the order of the calls
+   * @param calls creates the call with a given number, from 0
+   * @param count the number of calls
+   * @param perSecond the number of calls per second
+   * @param targets returns the address for the next call
+   * @return the pending results, in the order of the calls
    */
   public List<CompletableFuture<CallResult>> start(
       IntFunction<Call> calls, int count, double perSecond, Supplier<Address> targets) {
@@ -66,7 +66,7 @@
   /**
    * Waits for results.
    *
-   * @param results the results to come
+   * @param results the pending results
    * @return the results
    */
   public static List<CallResult> join(List<CompletableFuture<CallResult>> results) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/package-info.java
@@ -1,2 +1,2 @@
-/** Callers that check every answer, and the load they make. */
+/** A load generator that checks every answer. */
 package io.mothrill.lab.load;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The steps of the scenario language. */
+/** The actions of the scenario language, by command. */
 final class Actions {
 
   private static final long SETTLE_MS = 3_000;
@@ -68,7 +68,7 @@
     run.fleet().declare(step.word(0), spec);
   }
 
-  /** A top-up is written {@code id:tokens}; naming the budget again adds to those before. */
+  /** Top-ups are written {@code id:tokens}; a repeated declaration adds top-ups to the budget. */
   private static void declareBudget(ScenarioRun run, Step step) {
     String budget = step.word(0);
     List<String> topUps = run.topUpsOf(budget);
@@ -151,7 +151,7 @@
     run.calls().add(name, Calls.bodyOf(step, name), run.fleet().call(instance, request));
   }
 
-  /** Makes calls at a steady pace, in turn at each of the instances that are named. */
+  /** Sends calls at a constant rate, round robin to the named instances. */
   private static void load(ScenarioRun run, Step step) {
     Fleet fleet = run.fleet();
     List<String> instances = List.of(step.option("at").split(",", -1));
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
@@ -11,17 +11,17 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The calls that a scenario has made, by name. */
+/** The calls sent by a scenario, by name. */
 final class Calls {
 
   static final String SECRET = "secret";
 
   private final Map<String, Made> made = new LinkedHashMap<>();
 
-  /** A call that was made. */
+  /** A call that was sent. */
   record Made(String body, MemoryCaller caller) {}
 
-  /** Makes the request of a step; calls with the same key have the same body. */
+  /** Creates the request of a step; calls with the same key have the same body. */
   static CallRequest request(Step step, String name) {
     String key = keyOf(step, name);
     String body = bodyOf(step, name);
@@ -46,7 +46,7 @@
         new byte[0]);
   }
 
-  /** A load that is {@code keyed} gives each of its calls a key of its own. */
+  /** Returns the idempotency key; each call of a {@code keyed} load has its own. */
   private static String keyOf(Step step, String name) {
     return step.option("key", step.has("keyed") ? name : "");
   }
@@ -65,7 +65,7 @@
         .orElseThrow(() -> step.wrong("there was no call named " + name));
   }
 
-  /** Finds all calls of a load: those whose names begin with the load's name and a dot. */
+  /** Returns the calls of a load: those whose names start with the load's name and a dot. */
   List<Made> ofLoad(String load) {
     return made.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(load + "."))
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
@@ -10,7 +10,7 @@
 import java.util.function.LongBinaryOperator;
 import java.util.stream.Collectors;
 
-/** What a scenario may expect. */
+/** The checks of the {@code expect} step. */
 final class Expectations {
 
   private static final Map<String, LongBinaryOperator> COMPARISONS =
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Counts the runs of a call's body at all upstreams. */
+  /** Returns the number of runs of a call's body, over all upstreams. */
   static long runsOf(ScenarioRun run, Calls.Made made) {
     return run.fleet().upstreams().stream()
         .mapToLong(upstream -> upstream.runsOf(made.body()))
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 
 /**
- * A scenario: steps that are done to a fleet in memory, one after the other.
+ * A scenario: a sequence of steps that run on an in-memory fleet.
  *
- * <p>The language has one step a line; {@code docs/SCENARIOS.md} lists the steps.
+ * <p>The language has one step per line; {@code docs/SCENARIOS.md} lists the steps.
  *
  * <pre>{@code
  * Scenario.parse(text).run(42);
@@ -25,18 +25,18 @@
     this.steps = List.copyOf(steps);
   }
 
-  /** What one kind of step does. */
+  /** The action of one kind of step. */
   interface StepAction {
 
     void run(ScenarioRun run, Step step);
   }
 
   /**
-   * Reads a scenario.
+   * Parses a scenario.
    *
-   * @param text its lines
+   * @param text the text of the scenario
    * @return the scenario
-   * @throws InvalidInputException naming the line that is wrong
+   * @throws InvalidInputException if a line is invalid; the error names the line
    */
   public static Scenario parse(String text) {
     List<String> lines = text.lines().toList();
@@ -58,8 +58,8 @@
   /**
    * Runs the scenario.
    *
-   * @param seed makes every random choice
-   * @throws ScenarioFailure when an expectation did not hold
+   * @param seed the seed of all random choices
+   * @throws ScenarioFailure if an expectation is not met
    */
   public void run(long seed) {
     ScenarioRun run = new ScenarioRun(seed);
@@ -67,10 +67,10 @@
   }
 
   /**
-   * Runs the scenario and counts what came of a load.
+   * Runs the scenario and counts the outcomes of the calls of a load.
    *
-   * @param seed makes every random choice
-   * @param load the load's name
+   * @param seed the seed of all random choices
+   * @param load the name of the load
    * @return the counts
    */
   public ScenarioCount runAndCount(long seed, String load) {
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Counts the expectations.
+   * Returns the number of expectations.
    *
-   * @return steps that check something
+   * @return the number of {@code expect} steps
    */
   public long expectationCount() {
     return steps.stream().filter(step -> step.command().equals("expect")).count();
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCommand.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab scenario}: runs scenarios and says which of them failed. */
+/** {@code mothrill lab scenario}: runs scenarios and prints which of them failed. */
 public final class ScenarioCommand implements Command {
 
   @Argument(required = true, metaVar = "FILE", usage = "scenario files")
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCount.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCount.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * What came of the calls of a load.
+ * The outcomes of the calls of a load.
  *
- * @param asked how many calls were made
- * @param served how many got a whole answer
- * @param runTwice how many were run more than once
- * @param states how the calls ended, with their numbers
+ * @param asked the number of calls sent
+ * @param served the number of calls that received a complete answer
+ * @param runTwice the number of calls that were run more than once
+ * @param states the number of calls by final state
  */
 public record ScenarioCount(long asked, long served, long runTwice, Map<String, Long> states) {}
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioFailure.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioFailure.java
@@ -1,6 +1,6 @@
 package io.mothrill.lab.scenario;
 
-/** Something that a scenario expects did not hold. */
+/** Thrown when an expectation of a scenario is not met. */
 public final class ScenarioFailure extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -10,10 +10,10 @@
   }
 
   /**
-   * An expectation did not hold.
+   * Creates the failure of an expectation.
    *
    * @param step the expectation
-   * @param actual what was found instead
+   * @param actual the value found instead
    * @return the failure
    */
   public static ScenarioFailure unmet(Step step, String actual) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioRun.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioRun.java
@@ -32,7 +32,7 @@
     return calls;
   }
 
-  /** Changes how nodes decide; only before the first one starts. */
+  /** Changes the settings of the nodes, which is allowed only before the fleet is created. */
   void configure(Step step) {
     if (fleet != null) {
       throw step.wrong("must come before anything else");
@@ -53,7 +53,7 @@
             budgets, settings.requests(), settings.queues(), settings.routing(), settings.drain());
   }
 
-  /** Remembers the top-ups of a budget, since a declaration names all of them. */
+  /** Returns the top-ups declared so far for a budget, because a declaration contains all of them. */
   List<String> topUpsOf(String budget) {
     return topUps.computeIfAbsent(budget, name -> new ArrayList<>());
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
@@ -18,10 +18,10 @@
  * call konya-1 name=c1 service=asistan tokens=40 unrepeatable
  * }</pre>
  *
- * @param line the line's number, from 1
+ * @param line the line number, from 1
  * @param command the first word
- * @param words the other words without an equals sign
- * @param options the words with one
+ * @param words the other words that are not options
+ * @param options the options, written {@code name=value}
  */
 public record Step(int line, String command, List<String> words, Map<String, String> options) {
 
@@ -30,11 +30,11 @@
       Map.of("ms", 1L, "s", 1_000L, "m", 60_000L, "h", 3_600_000L);
 
   /**
-   * Reads a line.
+   * Parses a line.
    *
-   * @param line the line's number
+   * @param line the line number
    * @param text the line
-   * @return the step, or empty when the line has none
+   * @return the step, or empty if the line is blank or a comment
    */
   public static Optional<Step> parse(int line, String text) {
     String code = text.replaceFirst("#.*", "").trim();
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Gives a word.
+   * Returns a word.
    *
-   * @param index its place behind the command, from 0
+   * @param index the index of the word after the command, from 0
    * @return the word
    */
   public String word(int index) {
@@ -70,17 +70,17 @@
   }
 
   /**
-   * Says whether a word is there.
+   * Checks whether the step contains a word.
    *
    * @param word the word
-   * @return true when it is
+   * @return true if it does
    */
   public boolean has(String word) {
     return words.contains(word);
   }
 
   /**
-   * Gives an option.
+   * Returns the value of a required option.
    *
    * @param name the option
    * @return its value
@@ -90,10 +90,10 @@
   }
 
   /**
-   * Gives an option that may be left out.
+   * Returns the value of an optional option.
    *
    * @param name the option
-   * @param fallback its value when it is left out
+   * @param fallback the default value
    * @return its value
    */
   public String option(String name, String fallback) {
@@ -101,10 +101,10 @@
   }
 
   /**
-   * Gives a whole number that may be left out.
+   * Returns the value of an optional option that is a whole number.
    *
    * @param name the option
-   * @param fallback its value when it is left out
+   * @param fallback the default value
    * @return its value
    */
   public long number(String name, long fallback) {
@@ -112,7 +112,7 @@
   }
 
   /**
-   * Reads a whole number.
+   * Parses a whole number.
    *
    * @param text the number
    * @return its value
@@ -126,21 +126,21 @@
   }
 
   /**
-   * Gives a duration that may be left out.
+   * Returns the value of an optional option that is a duration.
    *
    * @param name the option
-   * @param fallbackMs its value when it is left out
-   * @return milliseconds
+   * @param fallbackMs the default value
+   * @return the duration in milliseconds
    */
   public long durationMs(String name, long fallbackMs) {
     return options.containsKey(name) ? parseDurationMs(options.get(name)) : fallbackMs;
   }
 
   /**
-   * Reads a duration.
+   * Parses a duration.
    *
    * @param text for example {@code 250ms}, {@code 5s}, {@code 10m} or {@code 1h}
-   * @return milliseconds
+   * @return the duration in milliseconds
    */
   public long parseDurationMs(String text) {
     Matcher matcher = DURATION.matcher(text);
@@ -151,10 +151,10 @@
   }
 
   /**
-   * Refuses the step.
+   * Creates the error for an invalid step.
    *
-   * @param reason why
-   * @return the error, naming the line
+   * @param reason the reason
+   * @return the error, which names the line
    */
   public InvalidInputException wrong(String reason) {
     return InvalidInputException.of(
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/package-info.java
@@ -1,2 +1,2 @@
-/** The scenario language: what happens to a fleet, and what must hold then. */
+/** The scenario language, which describes events in a fleet and the expected results. */
 package io.mothrill.lab.scenario;
