--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
@@ -30,10 +30,10 @@
 import java.util.stream.Collectors;
 
 /**
- * {@code mothrill demo}: serves real calls through two entry instances, and counts what came of it.
+ * {@code mothrill demo}: serves calls over HTTP through two entry instances and checks the results.
  *
- * <p>Every figure that it prints was counted: answers by the callers, tokens by the engines, bills
- * in the platform's ledger. It fails when a promise broke.
+ * <p>All printed figures are counted: answers by the callers, tokens by the engines and bills in
+ * the platform's ledger. The command fails if a check fails.
  */
 public final class DemoCommand implements Command {
 
@@ -110,7 +110,7 @@
     return new Call(SMALL, DemoFloor.keyOf(SMALL), MODEL, prompt, 100, false, "urgent", "");
   }
 
-  /** Spends a small budget until it is refused, tops it up, and is served again. */
+  /** Spends a small budget until a call is refused, tops it up and checks that calls are served. */
   private List<CallResult> topUp(DemoFloor floor, Schedule schedule) {
     List<CallResult> results = new ArrayList<>();
     CallResult last = null;
@@ -131,7 +131,7 @@
     return results.stream().filter(CallResult::isServed).collect(Collectors.toList());
   }
 
-  /** Calls each ticket twice under its key; each must be called once at the service. */
+  /** Sends each ticket twice under its key and checks that the service runs it once. */
   private int callTickets(DemoFloor floor) {
     List<CompletableFuture<HttpReply>> replies = new ArrayList<>();
     for (int number = 0; number < TICKET_CALLS; number++) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
@@ -27,7 +27,10 @@
 import java.util.TreeMap;
 import java.util.UUID;
 
-/** A platform, engines, a plain service and entry instances on loopback, in one process. */
+/**
+ * A local cluster on the loopback interface in one process: a platform, engines, a plain service
+ * and entry instances.
+ */
 public final class DemoFloor implements AutoCloseable {
 
   private static final String HOST = "127.0.0.1";
@@ -43,12 +46,12 @@
   private final PlainServer plain = new PlainServer(group, timers, HOST, 0, 5);
 
   /**
-   * Starts the floor.
+   * Starts the cluster.
    *
-   * @param instanceCount how many entry instances; they stand in two failure domains
-   * @param engineCount how many engines
-   * @param engine how the engines work
-   * @param overrides settings of the instances other than their own standard, as JSON objects
+   * @param instanceCount the number of entry instances, which alternate between two failure domains
+   * @param engineCount the number of engines
+   * @param engine the settings of the engines
+   * @param overrides settings of the instances that differ from the defaults, as JSON values by name
    */
   public DemoFloor(
       int instanceCount, int engineCount, EngineSettings engine, Map<String, JsonNode> overrides) {
@@ -74,9 +77,9 @@
   }
 
   /**
-   * Gives the key of a team's callers.
+   * Returns the API key of a team's callers.
    *
-   * @param team the team's name
+   * @param team the name of the team
    * @return the key
    */
   public static String keyOf(String team) {
@@ -107,7 +110,7 @@
   /**
    * Declares a team with one key.
    *
-   * @param team the team's name
+   * @param team the name of the team
    */
   public void declareTeam(String team) {
     TeamKey key = TeamKey.hash(SALT, keyOf(team).substring(team.length() + 1));
@@ -119,8 +122,8 @@
   /**
    * Declares a budget with its top-ups.
    *
-   * @param budget the budget's name
-   * @param team the team's name
+   * @param budget the name of the budget
+   * @param team the name of the team
    * @param topUpTokens the tokens of each top-up, in order
    */
   public void declareBudget(String budget, String team, long... topUpTokens) {
@@ -135,8 +138,8 @@
   /**
    * Declares a model service and an upstream for each engine.
    *
-   * @param model the model's name
-   * @param engine how the engines work
+   * @param model the name of the model
+   * @param engine the settings of the engines
    */
   public void declareModel(String model, EngineSettings engine) {
     declare("Service", model, Json.object().put("type", "model").put("maxOutputTokens", 2_000));
@@ -150,9 +153,9 @@
   }
 
   /**
-   * Declares the plain service, whose calls may not be repeated.
+   * Declares the plain service, whose calls are not idempotent.
    *
-   * @param service the service's name
+   * @param service the name of the service
    */
   public void declareTickets(String service) {
     declare(
@@ -171,7 +174,7 @@
         .put("slots", slots);
   }
 
-  /** Waits until every instance has the configuration that was declared last. */
+  /** Waits until every instance has applied the last declared configuration. */
   public void awaitConfig() {
     long revision = Json.read(config(0).body()).path("revision").asLong();
     for (int tries = 0; tries < 200; tries++) {
@@ -182,7 +185,7 @@
       pause(50);
       revision = Math.max(revision, revisionOf(instances.get(0)));
     }
-    throw new IllegalStateException("the configuration did not spread");
+    throw new IllegalStateException("instances did not apply the configuration in time");
   }
 
   private HttpReply config(int index) {
@@ -197,9 +200,9 @@
   }
 
   /**
-   * Lets real time pass.
+   * Sleeps for a duration of real time.
    *
-   * @param durationMs milliseconds
+   * @param durationMs the duration in milliseconds
    */
   public static void pause(long durationMs) {
     try {
@@ -210,9 +213,9 @@
   }
 
   /**
-   * Gives the address for callers of an instance.
+   * Returns the caller address of an instance.
    *
-   * @param index the instance, from 0
+   * @param index the index of the instance, from 0
    * @return the address
    */
   public Address caller(int index) {
@@ -220,7 +223,7 @@
   }
 
   /**
-   * Gives the instances.
+   * Returns the instances.
    *
    * @return the instances in order
    */
@@ -229,7 +232,7 @@
   }
 
   /**
-   * Gives the engines.
+   * Returns the engines.
    *
    * @return the engines by name
    */
@@ -238,7 +241,7 @@
   }
 
   /**
-   * Gives the plain service.
+   * Returns the plain service.
    *
    * @return the service
    */
@@ -247,7 +250,7 @@
   }
 
   /**
-   * Gives the platform.
+   * Returns the platform.
    *
    * @return the platform
    */
@@ -256,7 +259,7 @@
   }
 
   /**
-   * Gives an HTTP client.
+   * Returns an HTTP client.
    *
    * @return the client
    */
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/AllotmentPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/AllotmentPolicy.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The product's own policy: allotments, slices and lending. */
+/** The policy of mothrill: allotments per instance, slices and loans between instances. */
 final class AllotmentPolicy implements SpendPolicy {
 
   private final Fleet fleet;
@@ -49,7 +49,7 @@
 
   @Override
   public void onTopUp(String budget, long tokens) {
-    // The top-up is a row in the table, and found there.
+    // Nothing to do: instances read the top-up from the table.
   }
 
   @Override
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/BudgetExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/BudgetExperiment.java
@@ -17,7 +17,10 @@
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
 
-/** Overspend and false refusals of the product's policy beside two baselines, on the same load. */
+/**
+ * Compares the overspend and false refusals of mothrill's policy with those of two baselines under
+ * the same load.
+ */
 final class BudgetExperiment implements Experiment {
 
   private static final long SEED = 20_261_202;
@@ -83,7 +86,7 @@
         .put("tableWrites", found.tableWrites());
   }
 
-  /** Times a reservation and its settlement when the slice has room. */
+  /** Measures the time to reserve and release tokens when the slice has enough of them. */
   private static ObjectNode measureReserve() {
     Fleet fleet = new Fleet(NodeSettings.standard(), SEED);
     fleet.start("konya-1", "konya");
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CapacityExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CapacityExperiment.java
@@ -18,11 +18,12 @@
 import java.util.List;
 
 /**
- * What control costs a node and the platform, by number of instances, budgets and upstreams.
+ * Measures the cost of coordination for a node and the platform, by number of instances, budgets
+ * and upstreams.
  *
- * <p>Each line is one fleet in memory over some minutes of its time. Processor time is that of the
- * whole process divided by nodes and seconds, so it includes the fakes; differences between lines
- * give the slopes.
+ * <p>Each line measures one in-memory fleet over 2 minutes of simulated time. Processor time is
+ * that of the whole process divided by nodes and seconds, so it includes the fakes; the marginal
+ * cost follows from the differences between lines.
  */
 final class CapacityExperiment implements Experiment {
 
@@ -33,7 +34,7 @@
   private static final double NANOS_PER_MICRO = 1_000;
   private static final double BYTES_PER_KB = 1_024;
 
-  /** One line: how many of each there are. */
+  /** The size of the fleet in one line. */
   private record Size(int nodes, int budgets, int activeBudgets, int upstreams) {}
 
   private static final List<Size> SIZES =
@@ -122,7 +123,7 @@
     return fleet;
   }
 
-  /** Lets every active budget be drawn on at every node once a second. */
+  /** Spends from every active budget at every node once per second. */
   private static void spend(Fleet fleet, Size size, long seconds) {
     for (long second = 0; second < seconds; second++) {
       for (int budget = 0; budget < size.activeBudgets(); budget++) {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CentralPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CentralPolicy.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Baseline: every request is checked at the platform, and refused when that is out of reach. */
+/** Baseline: every request is checked at the platform and refused when it is unreachable. */
 final class CentralPolicy implements SpendPolicy {
 
   private final Fleet fleet;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Experiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Experiment.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** One experiment: runs, prints what it measured, and gives it as JSON. */
+/** An experiment that prints its measurements and returns them as JSON. */
 interface Experiment {
 
   /**
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab experiment}: measures a policy beside its baselines. */
+/** {@code mothrill lab experiment}: runs an experiment and prints its measurements. */
 public final class ExperimentCommand implements Command {
 
   private static final Map<String, Supplier<Experiment>> EXPERIMENTS =
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
@@ -5,7 +5,10 @@
 import io.mothrill.lab.scenario.ScenarioCount;
 import io.mothrill.wire.json.Json;
 
-/** How many unrepeatable calls are served while the platform, or a domain's way to it, is down. */
+/**
+ * Measures how many non-idempotent calls are served while the platform is down or a failure domain
+ * is partitioned from it.
+ */
 final class OutageExperiment implements Experiment {
 
   private static final String FLEET =
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OverheadExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OverheadExperiment.java
@@ -19,7 +19,7 @@
 import java.util.Map;
 import java.util.Objects;
 
-/** What a pass through an entry instance costs, beside calls to the engine itself. */
+/** Measures the overhead of an entry instance compared with direct calls to the engine. */
 final class OverheadExperiment implements Experiment {
 
   private static final int ROUNDS = 6;
@@ -78,7 +78,7 @@
         () -> to);
   }
 
-  /** Adds up the processor time of the entry instance's own threads. */
+  /** Returns the total processor time of the threads of the entry instance. */
   private static double instanceCpuNanos() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     return Arrays.stream(threads.getThreadInfo(threads.getAllThreadIds()))
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Place.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Place.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Where a deployment's entry instances stand: failure domains by instance. */
+/** The topology of a deployment: the failure domain of each entry instance. */
 record Place(String name, Map<String, String> instances) {
 
   static final Place ANADOLU =
@@ -32,7 +32,7 @@
     return instances.keySet().stream().sorted().toList();
   }
 
-  /** The domain that is cut off in partitions: the one with the last instance. */
+  /** Returns the domain that is isolated in partitions: that of the last instance. */
   String lastDomain() {
     return instances.get(ids().get(ids().size() - 1));
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Situation.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Situation.java
@@ -1,15 +1,15 @@
 package io.mothrill.lab.experiment;
 
-/** What happens while a budget is drawn on. */
+/** The conditions under which budgets are spent. */
 enum Situation {
-  /** All is well, and the budgets are large. */
+  /** No faults and large budgets. */
   STEADY,
-  /** Nine calls in ten come to one instance. */
+  /** 90% of the calls arrive at one instance. */
   SKEW,
-  /** The budgets run out; only calls within their last twentieth count. */
+  /** The budgets run out; only calls made while less than 5% is left are counted. */
   LAST_TOKENS,
-  /** One domain is cut off for an hour; a top-up comes in the middle. */
+  /** One failure domain is partitioned for an hour, with a top-up after half an hour. */
   PARTITION,
-  /** One instance of six dies, and is replaced after a minute. */
+  /** One of six instances crashes and is replaced after a minute. */
   CRASH
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendPolicy.java
@@ -3,25 +3,25 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A way to keep a team's spend within its budget: the product's, or a baseline. */
+/** A policy that keeps spending within a budget: that of mothrill or a baseline. */
 interface SpendPolicy {
 
-  /** Tokens set aside for one request. */
+  /** Tokens reserved for one request. */
   interface Hold {
 
     void settle(long usedTokens);
   }
 
   /**
-   * Sets tokens aside at an instance.
+   * Reserves tokens at an instance.
    *
-   * @return the hold, or empty when the request is refused
+   * @return the reservation, or empty if the request is refused
    */
   CompletableFuture<Optional<Hold>> reserve(String instance, String budget, long tokens);
 
-  /** A top-up was paid. */
+  /** Called when a budget is topped up. */
   void onTopUp(String budget, long tokens);
 
-  /** Says how many tokens an instance could get without crossing a cut. */
+  /** Returns the number of tokens that an instance can obtain within its side of a partition. */
   long withinReachTokens(String instance, String budget);
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendRun.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendRun.java
@@ -15,7 +15,7 @@
 import java.util.Random;
 import java.util.function.Function;
 
-/** One cell of the budget experiment: a policy in a situation at a place, under a seeded load. */
+/** One cell of the budget experiment: a policy, conditions and a topology under a seeded load. */
 final class SpendRun {
 
   private static final int TEAMS = 10;
@@ -50,7 +50,7 @@
     this.policy = policyOf.apply(fleet);
   }
 
-  /** What came of a run; only calls for which the budget had room are counted. */
+  /** The results of a run; only calls that the budget could cover are counted. */
   record Figures(
       long asked,
       long refusedFalsely,
@@ -85,7 +85,7 @@
         fleet.table().writeCount() - writesBefore);
   }
 
-  /** A few teams are large: each is half as large as the one before, down to a floor. */
+  /** Returns the weight of a budget: a few are large, each half as large as the one before. */
   private static double weight(int team) {
     return Math.max(0.01, Math.pow(0.5, team + 1));
   }
@@ -195,7 +195,7 @@
     if (hold.isPresent()) {
       begin(budget, needTokens, hold.get());
     } else if (counts && leftTokens(budget) >= needTokens) {
-      // Where the room has gone to another call in the meantime, the refusal is true.
+      // The refusal is correct if another call has taken the remaining tokens in the meantime.
       refusedFalsely++;
       boolean inReach = policy.withinReachTokens(instance, budget) >= needTokens;
       refusedInReach += inReach ? 1 : 0;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SplitPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SplitPolicy.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Baseline: every top-up is split evenly between the instances that can be reached, for good. */
+/** Baseline: every top-up is split evenly and permanently between the reachable instances. */
 final class SplitPolicy implements SpendPolicy {
 
   private final Fleet fleet;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments that compare a policy with baselines in one run. */
+/** Experiments that measure cost, latency and spending, partly in comparison with baselines. */
 package io.mothrill.lab.experiment;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/Exploration.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/Exploration.java
@@ -27,7 +27,8 @@
 import java.util.stream.Collectors;
 
 /**
- * One random run: calls and faults in an order that a seed decides, and a check at the end.
+ * A randomized test run: a seed determines the sequence of calls and faults, and invariants are
+ * checked at the end.
  *
  * <pre>{@code
  * List<String> broken = new Exploration(seed, FaultMix.WITH_DEATHS).run(200);
@@ -55,10 +56,10 @@
   private int callCount;
 
   /**
-   * Prepares a run.
+   * Creates a run.
    *
-   * @param seed decides everything
-   * @param mix which faults are used
+   * @param seed the seed of all random choices
+   * @param mix the kinds of faults to inject
    */
   public Exploration(long seed, FaultMix mix) {
     this.random = new Random(seed);
@@ -78,10 +79,10 @@
   }
 
   /**
-   * Runs a number of random steps, heals everything, and checks what must always hold.
+   * Runs random steps, ends all faults and checks the invariants.
    *
-   * @param steps how many
-   * @return what did not hold; empty when all did
+   * @param steps the number of steps
+   * @return the violations; empty if all invariants hold
    */
   public List<String> run(int steps) {
     declare();
@@ -93,9 +94,9 @@
   }
 
   /**
-   * Tells what was done.
+   * Returns the log of the run.
    *
-   * @return one line a step
+   * @return one line per step
    */
   public List<String> log() {
     return List.copyOf(log);
@@ -218,7 +219,7 @@
     }
   }
 
-  /** Asks again for a call that had no key, under the key that it was told. */
+  /** Repeats a call that was sent without a key, under the key generated for it. */
   private void repeatMinted() {
     List<Made> told =
         made.stream().filter(call -> call.key().isEmpty() && !call.isUnknown()).toList();
@@ -330,18 +331,18 @@
   }
 
   /**
-   * Counts the calls made.
+   * Returns the number of calls sent.
    *
-   * @return calls
+   * @return the number of calls
    */
   public int callCount() {
     return callCount;
   }
 
   /**
-   * Counts the calls that were served.
+   * Returns the number of calls served.
    *
-   * @return calls with a whole answer
+   * @return the number of calls with a complete answer
    */
   public long servedCount() {
     return made.stream().filter(call -> call.caller().state().equals("served")).count();
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/ExploreCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/ExploreCommand.java
@@ -5,7 +5,10 @@
 import java.util.stream.LongStream;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab explore}: plays random faults and prints the seeds that broke something. */
+/**
+ * {@code mothrill lab explore}: injects random faults and prints the seeds that violated an
+ * invariant.
+ */
 public final class ExploreCommand implements Command {
 
   @Option(name = "--from", metaVar = "SEED", usage = "the first seed (default 1)")
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/FaultMix.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/FaultMix.java
@@ -1,9 +1,9 @@
 package io.mothrill.lab.explore;
 
-/** Which faults an exploration uses. */
+/** The kinds of faults that an exploration injects. */
 public enum FaultMix {
-  /** Cuts, pauses, outages and engine failures; no instance dies. */
+  /** Partitions, suspended processes, platform outages and engine failures, but no crashes of instances. */
   WITHOUT_DEATHS,
-  /** All of these, and instances that die and are replaced. */
+  /** All of these, and crashes of instances, which are then replaced. */
   WITH_DEATHS
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/package-info.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/package-info.java
@@ -1,2 +1,2 @@
-/** Random interleavings of faults, checked against what must always hold. */
+/** Random interleavings of calls and faults, with a check of invariants. */
 package io.mothrill.lab.explore;
