--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Real HTTP from a caller through an entry instance to two engines that misbehave. */
+/** Calls over HTTP through an entry instance to two engines with injected faults. */
 class EngineFaultsTest {
 
   private static final EngineSettings ENGINE = new EngineSettings(16, 1, 512, 16, 50);
@@ -53,8 +53,9 @@
     return floor.engines().values().stream().mapToLong(engine -> engine.runs().size()).sum();
   }
 
-  // An engine answers under another request's id. The answer must not reach this caller: it is
-  // dropped, the connection closed, and the call sent again, here after both engines have failed.
+  // Guards against delivering the answer of another request: an engine answers with a foreign request
+  // id. The answer is dropped, the connection closed and the call retried, here after both engines
+  // have failed.
   @Test
   void crossedAnswerIsDroppedAndTheCallServedElsewhere() {
     // GIVEN
@@ -67,8 +68,9 @@
     assertThat(runs()).isGreaterThan(0);
   }
 
-  // A connection falls silent after the call was sent. The watchdog closes that connection, and the
-  // call is served by the other engine; the first is not lost for later calls.
+  // Guards against losing a call or an engine to one stalled connection: an engine does not respond
+  // after the call was sent. The watchdog closes that connection, the call is retried at the other
+  // engine, and the first engine serves later calls.
   @Test
   void silentConnectionCostsNoMoreThanItsWatchdog() {
     // GIVEN
@@ -94,8 +96,8 @@
     assertThat(leaving.runs()).isEmpty();
   }
 
-  // An engine ignores the output cap. The stream is cut at the cap and ended properly, and no more
-  // is billed than was reserved.
+  // Guards against billing more than was reserved: an engine ignores the output limit. The stream is
+  // truncated at the limit and terminated properly.
   @Test
   void answerBeyondItsCapIsCut() {
     // GIVEN
--- a/mothrill-lab/src/test/java/io/mothrill/lab/explore/ExplorationPropertyTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/explore/ExplorationPropertyTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * Random interleavings of calls and faults keep what must always hold.
+ * Random interleavings of calls and faults do not violate the invariants.
  *
  * <p>A failure names the seed; {@code mothrill lab explore --from SEED --count 1 --log} replays it.
  */
@@ -16,15 +16,16 @@
 
   private static final int STEPS = 200;
 
-  // Callers see whole answers of their own, or refusals that say the truth about the run, while
-  // domains are cut off, instances are paused, engines fail and the platform loses answers.
+  // Callers receive the complete answer to their own call, or a refusal that reports correctly
+  // whether the call was run, while domains are partitioned, instances are suspended, engines fail
+  // and the platform loses answers.
   @Property(tries = 25, seed = "4711")
   void booksAndAnswersAreRightWhenNoInstanceDies(
       @ForAll @LongRange(min = 1, max = 100_000) long seed) {
     check(seed, FaultMix.WITHOUT_DEATHS);
   }
 
-  // Instances also die at any step of a request and are replaced at the same address.
+  // In addition, instances crash at any step of a request and are replaced at the same address.
   @Property(tries = 25, seed = "4712")
   void nothingIsOverspentOrBilledOrRunTwiceWhenInstancesDie(
       @ForAll @LongRange(min = 1, max = 100_000) long seed) {
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
@@ -19,11 +19,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// A call on mothrill's own interface ends each upstream that runs it, which is back after some
-// seconds. Its caller hears that the outcome is unknown and sends it again without a key, to
-// another instance. Each repeat is a call of its own, so as long as crashes were forgotten with the
-// call that saw them, 10 repeats ended 30 upstreams. They are kept under the call's fingerprint now
-// and told to the other instance.
+// Guards against a call that crashes every upstream that runs it. Its caller is told that the outcome
+// is unknown and retries without a key at another instance; each retry counts as a new call. When
+// crashes were recorded only per call, 10 retries crashed 30 upstreams. Crashes are therefore
+// recorded by the call's fingerprint and reported to the other instances.
 class CrashingCallTest {
 
   private static final String DEADLY = "deadly";
@@ -31,7 +30,7 @@
   private static final int REPEATS = 10;
   private static final int CRASHES = 3;
 
-  /** An upstream that ended is back after this time, as is the caller. */
+  /** After this time a crashed upstream has restarted and the caller retries. */
   private static final long PAUSE_MS = 5_000;
 
   private final Fleet fleet = new Fleet(NodeSettings.standard(), 1);
@@ -71,8 +70,8 @@
     assertThat(runs).isEqualTo(CRASHES);
   }
 
-  // The third upstream has ended. The call comes to the instance that only heard of that; its
-  // caller is told at once that it has not run, and when it may come again.
+  // Three upstreams have crashed. The call arrives at the instance that knows this only from reports;
+  // its caller is told immediately that the call was not run and when to retry.
   @Test
   void tellsItsCallerThatItHasNotRunAndWhenToComeBack() {
     startFleet();
@@ -90,8 +89,8 @@
     assertThat(refusal.retryAfterMs()).isGreaterThan(0L);
   }
 
-  // Another call shares upstreams with the deadly one and loses them with it. It is none of its
-  // doing, so it is served as soon as an upstream bears it.
+  // Guards against blaming a call that was in flight at an upstream when another call crashed it: it
+  // is not quarantined and is served by the next upstream that stays up.
   @Test
   void bystandersAreServed() {
     startFleet();
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
@@ -18,13 +18,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-// An operator empties a failure domain before it works there. Calls on mothrill's own interface go
-// to upstreams elsewhere from then on; where there are none, callers hear at once that nothing ran.
+// Guards against sending calls to an evacuated failure domain, which an operator evacuates before
+// maintenance. Calls on mothrill's own interface go to upstreams in other domains; if there are none,
+// callers are refused immediately as not run.
 class EvacuatedCallTest {
 
   private static final int CALLS = 8;
 
-  /** A change is in force everywhere within a few turns of reading it. */
+  /** A change is applied by all instances within a few polling intervals. */
   private static final long IN_FORCE_MS = 3_000;
 
   private final Fleet fleet = new Fleet(NodeSettings.standard(), 1);
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/PlainCalls.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/PlainCalls.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Repeatable calls of one team to plain services. */
+/** Idempotent calls of one team to plain services. */
 final class PlainCalls {
 
   static final String SECRET = "secret";
