--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -68,9 +68,9 @@
     assertThat(runs()).isGreaterThan(0);
   }
 
-  // Guards against losing a call or an engine to one stalled connection: an engine does not respond
-  // after the call was sent. The watchdog closes that connection, the call is retried at the other
-  // engine, and the first engine serves later calls.
+  // Guards against losing a call or an engine to one stalled connection: each engine leaves one call
+  // without a response. The watchdog closes that connection, the call is retried, and the engines
+  // serve later calls.
   @Test
   void silentConnectionCostsNoMoreThanItsWatchdog() {
     // GIVEN
