--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
@@ -90,7 +90,7 @@
   }
 
   /**
-   * Returns the value of an optional option.
+   * Returns the value of an option, or a default.
    *
    * @param name the option
    * @param fallback the default value
@@ -101,7 +101,7 @@
   }
 
   /**
-   * Returns the value of an optional option that is a whole number.
+   * Returns the value of an option that is a whole number, or a default.
    *
    * @param name the option
    * @param fallback the default value
@@ -126,7 +126,7 @@
   }
 
   /**
-   * Returns the value of an optional option that is a duration.
+   * Returns the value of an option that is a duration, or a default.
    *
    * @param name the option
    * @param fallbackMs the default value
--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -53,9 +53,9 @@
     return floor.engines().values().stream().mapToLong(engine -> engine.runs().size()).sum();
   }
 
-  // Guards against delivering the answer of another request: an engine answers with a foreign request
-  // id. The answer is dropped, the connection closed and the call retried, here after both engines
-  // have failed.
+  // Guards against delivering the answer of another request: an engine answers with a foreign
+  // request id. The answer is dropped, the connection closed and the call retried, here after both
+  // engines have failed.
   @Test
   void crossedAnswerIsDroppedAndTheCallServedElsewhere() {
     // GIVEN
@@ -68,9 +68,9 @@
     assertThat(runs()).isGreaterThan(0);
   }
 
-  // Guards against losing a call or an engine to one stalled connection: each engine leaves one call
-  // without a response. The watchdog closes that connection, the call is retried, and the engines
-  // serve later calls.
+  // Guards against losing a call or an engine to one stalled connection: each engine leaves one
+  // call without a response. The watchdog closes that connection, the call is retried, and the
+  // engines serve later calls.
   @Test
   void silentConnectionCostsNoMoreThanItsWatchdog() {
     // GIVEN
@@ -96,8 +96,8 @@
     assertThat(leaving.runs()).isEmpty();
   }
 
-  // Guards against billing more than was reserved: an engine ignores the output limit. The stream is
-  // truncated at the limit and terminated properly.
+  // Guards against billing more than was reserved: an engine ignores the output limit. The stream
+  // is truncated at the limit and terminated properly.
   @Test
   void answerBeyondItsCapIsCut() {
     // GIVEN
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
@@ -19,10 +19,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// Guards against a call that crashes every upstream that runs it. Its caller is told that the outcome
-// is unknown and retries without a key at another instance; each retry counts as a new call. When
-// crashes were recorded only per call, 10 retries crashed 30 upstreams. Crashes are therefore
-// recorded by the call's fingerprint and reported to the other instances.
+// Guards against a call that crashes every upstream that runs it. Its caller is told that the
+// outcome is unknown and retries without a key at another instance; each retry counts as a new
+// call. When crashes were recorded only per call, 10 retries crashed 30 upstreams. Crashes are
+// therefore recorded by the call's fingerprint and reported to the other instances.
 class CrashingCallTest {
 
   private static final String DEADLY = "deadly";
@@ -70,8 +70,8 @@
     assertThat(runs).isEqualTo(CRASHES);
   }
 
-  // Three upstreams have crashed. The call arrives at the instance that knows this only from reports;
-  // its caller is told immediately that the call was not run and when to retry.
+  // Three upstreams have crashed. The call arrives at the instance that knows this only from
+  // reports; its caller is told immediately that the call was not run and when to retry.
   @Test
   void tellsItsCallerThatItHasNotRunAndWhenToComeBack() {
     startFleet();
@@ -89,8 +89,8 @@
     assertThat(refusal.retryAfterMs()).isGreaterThan(0L);
   }
 
-  // Guards against blaming a call that was in flight at an upstream when another call crashed it: it
-  // is not quarantined and is served by the next upstream that stays up.
+  // Guards against blaming a call that was in flight at an upstream when another call crashed it:
+  // it is not quarantined and is served by the next upstream that stays up.
   @Test
   void bystandersAreServed() {
     startFleet();
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 // Guards against sending calls to an evacuated failure domain, which an operator evacuates before
-// maintenance. Calls on mothrill's own interface go to upstreams in other domains; if there are none,
-// callers are refused immediately as not run.
+// maintenance. Calls on mothrill's own interface go to upstreams in other domains; if there are
+// none, callers are refused immediately as not run.
 class EvacuatedCallTest {
 
   private static final int CALLS = 8;
