--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCluster.java
@@ -31,7 +31,7 @@
  * A local cluster on the loopback interface in one process: a platform, engines, a plain service
  * and entry instances.
  */
-public final class DemoFloor implements AutoCloseable {
+public final class DemoCluster implements AutoCloseable {
 
   private static final String HOST = "127.0.0.1";
   private static final long TIMEOUT_MS = 10_000;
@@ -43,7 +43,7 @@
   private final PlatformServer platform = new PlatformServer(group, timers, HOST, 0);
   private final Map<String, EngineServer> engines = new TreeMap<>();
   private final List<EntryInstance> instances = new ArrayList<>();
-  private final PlainServer plain = new PlainServer(group, timers, HOST, 0, 5);
+  private final PlainServer plainService = new PlainServer(group, timers, HOST, 0, 5);
 
   /**
    * Starts the cluster.
@@ -51,9 +51,10 @@
    * @param instanceCount the number of entry instances, which alternate between two failure domains
    * @param engineCount the number of engines
    * @param engine the settings of the engines
-   * @param overrides settings of the instances that differ from the defaults, as JSON values by name
+   * @param overrides settings of the instances that differ from the defaults, as JSON values by
+   *     name
    */
-  public DemoFloor(
+  public DemoCluster(
       int instanceCount, int engineCount, EngineSettings engine, Map<String, JsonNode> overrides) {
     for (int number = 1; number <= engineCount; number++) {
       engines.put("engine-" + number, new EngineServer(group, timers, HOST, 0, engine));
@@ -82,7 +83,7 @@
    * @param team the name of the team
    * @return the key
    */
-  public static String keyOf(String team) {
+  public static String apiKeyOf(String team) {
     return team + ".secret-of-" + team;
   }
 
@@ -113,7 +114,7 @@
    * @param team the name of the team
    */
   public void declareTeam(String team) {
-    TeamKey key = TeamKey.hash(SALT, keyOf(team).substring(team.length() + 1));
+    TeamKey key = TeamKey.hash(SALT, apiKeyOf(team).substring(team.length() + 1));
     ObjectNode spec = Json.object();
     spec.putArray("keys").addObject().put("salt", key.salt()).put("sha256", key.sha256());
     declare("Team", team, spec);
@@ -157,12 +158,12 @@
    *
    * @param service the name of the service
    */
-  public void declareTickets(String service) {
+  public void declarePlainService(String service) {
     declare(
         "Service",
         service,
         Json.object().put("type", "plain").put("repeatable", false).put("tokensPerCall", 1));
-    declare("Upstream", service + "-1", upstream(service, plain.port(), 1, 32));
+    declare("Upstream", service + "-1", upstream(service, plainService.port(), 1, 32));
   }
 
   private static ObjectNode upstream(String service, int port, int number, int slots) {
@@ -177,19 +178,19 @@
   /** Waits until every instance has applied the last declared configuration. */
   public void awaitConfig() {
     long revision = Json.read(config(0).body()).path("revision").asLong();
-    for (int tries = 0; tries < 200; tries++) {
+    for (int attempt = 0; attempt < 200; attempt++) {
       long wanted = revision;
       if (instances.stream().allMatch(instance -> revisionOf(instance) >= wanted)) {
         return;
       }
-      pause(50);
+      sleep(50);
       revision = Math.max(revision, revisionOf(instances.get(0)));
     }
     throw new IllegalStateException("instances did not apply the configuration in time");
   }
 
   private HttpReply config(int index) {
-    pause(600);
+    sleep(600);
     Address server = new Address(HOST, instances.get(index).operatorPort());
     return new OperatorClient(http, server, "demo", TIMEOUT_MS).config().join();
   }
@@ -204,7 +205,7 @@
    *
    * @param durationMs the duration in milliseconds
    */
-  public static void pause(long durationMs) {
+  public static void sleep(long durationMs) {
     try {
       Thread.sleep(durationMs);
     } catch (InterruptedException ex) {
@@ -218,7 +219,7 @@
    * @param index the index of the instance, from 0
    * @return the address
    */
-  public Address caller(int index) {
+  public Address callerAddress(int index) {
     return new Address(HOST, instances.get(index).callerPort());
   }
 
@@ -245,8 +246,8 @@
    *
    * @return the service
    */
-  public PlainServer plain() {
-    return plain;
+  public PlainServer plainService() {
+    return plainService;
   }
 
   /**
@@ -271,7 +272,7 @@
   public void close() {
     instances.forEach(EntryInstance::close);
     engines.values().forEach(EngineServer::close);
-    plain.close();
+    plainService.close();
     platform.close();
     group.shutdownGracefully();
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCommand.java
@@ -8,7 +8,7 @@
 import io.mothrill.lab.load.CallResult;
 import io.mothrill.lab.load.CheckingCaller;
 import io.mothrill.lab.load.Latencies;
-import io.mothrill.lab.load.Schedule;
+import io.mothrill.lab.load.OpenLoopSender;
 import io.mothrill.lab.standin.EngineServer;
 import io.mothrill.lab.standin.EngineSettings;
 import io.mothrill.wire.http.Address;
@@ -47,83 +47,91 @@
   private static final int TICKET_CALLS = 50;
   private static final long DRAIN_ANNOUNCE_MS = 300;
 
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> failedChecks = new ArrayList<>();
 
   @Override
   public int run() {
     EngineSettings engine = EngineSettings.small();
     JsonNode drain = Json.object().put("announceMs", DRAIN_ANNOUNCE_MS);
-    try (DemoFloor floor = new DemoFloor(2, 2, engine, Map.of("drain", drain))) {
-      declare(floor, engine);
+    try (DemoCluster cluster = new DemoCluster(2, 2, engine, Map.of("drain", drain))) {
+      declare(cluster, engine);
       List<CallResult> results = new ArrayList<>();
-      Schedule schedule = new Schedule(new CheckingCaller(floor.http()));
+      OpenLoopSender sender = new OpenLoopSender(new CheckingCaller(cluster.http()));
       final List<CompletableFuture<CallResult>> longCalls =
-          schedule.start(DemoCommand::longCall, LONG_CALLS, 200, round(floor, 2));
+          sender.start(DemoCommand::longCall, LONG_CALLS, 200, roundRobin(cluster, 2));
       List<CallResult> urgent =
-          schedule.run(DemoCommand::urgentCall, URGENT_CALLS, 100, round(floor, 2));
-      results.addAll(topUp(floor, schedule));
+          sender.run(DemoCommand::urgentCall, URGENT_CALLS, 100, roundRobin(cluster, 2));
+      results.addAll(spendAndTopUp(cluster, sender));
       results.addAll(urgent);
-      final int ticketsServed = callTickets(floor);
+      final int ticketsServed = sendTickets(cluster);
       AtomicBoolean drained = new AtomicBoolean();
-      floor.instances().get(0).drain().thenRun(() -> drained.set(true));
+      cluster.instances().get(0).drain().thenRun(() -> drained.set(true));
       List<CallResult> late =
-          schedule.run(number -> urgentCall(1_000 + number), 40, 40, () -> floor.caller(1));
-      List<CallResult> batch = Schedule.join(longCalls);
+          sender.run(number -> urgentCall(1_000 + number), 40, 40, () -> cluster.callerAddress(1));
+      List<CallResult> batch = OpenLoopSender.join(longCalls);
       results.addAll(late);
       results.addAll(batch);
-      awaitBills(floor, drained);
-      report(floor, results, urgent, batch, ticketsServed, drained.get());
+      awaitBills(cluster, drained);
+      report(cluster, results, urgent, batch, ticketsServed, drained.get());
     }
-    broken.forEach(promise -> System.out.println("BROKEN " + promise));
-    System.out.println(broken.isEmpty() ? "all promises held" : "a promise broke");
-    return broken.isEmpty() ? OK : FAILED;
+    failedChecks.forEach(check -> System.out.println("BROKEN " + check));
+    System.out.println(failedChecks.isEmpty() ? "all promises held" : "a promise broke");
+    return failedChecks.isEmpty() ? OK : FAILED;
   }
 
-  private static void declare(DemoFloor floor, EngineSettings engine) {
-    List.of(BRANCH, HALL, SMALL).forEach(floor::declareTeam);
-    floor.declareBudget(BRANCH + "-2026", BRANCH, 1_000_000);
-    floor.declareBudget(HALL + "-2026", HALL, 1_000_000);
-    floor.declareBudget(SMALL + "-2026", SMALL, 600);
-    floor.declareModel(MODEL, engine);
-    floor.declareTickets(TICKETS);
-    floor.awaitConfig();
+  private static void declare(DemoCluster cluster, EngineSettings engine) {
+    List.of(BRANCH, HALL, SMALL).forEach(cluster::declareTeam);
+    cluster.declareBudget(BRANCH + "-2026", BRANCH, 1_000_000);
+    cluster.declareBudget(HALL + "-2026", HALL, 1_000_000);
+    cluster.declareBudget(SMALL + "-2026", SMALL, 600);
+    cluster.declareModel(MODEL, engine);
+    cluster.declarePlainService(TICKETS);
+    cluster.awaitConfig();
   }
 
-  private static Supplier<Address> round(DemoFloor floor, int instances) {
+  private static Supplier<Address> roundRobin(DemoCluster cluster, int instances) {
     AtomicInteger next = new AtomicInteger();
-    return () -> floor.caller(next.getAndIncrement() % instances);
+    return () -> cluster.callerAddress(next.getAndIncrement() % instances);
   }
 
   private static Call longCall(int number) {
     String prompt = "summarise the passbook of saver " + number + " " + "entry ".repeat(200);
     return new Call(
-        BRANCH, DemoFloor.keyOf(BRANCH), MODEL, prompt, 600, true, "batch", "summary-" + number);
+        BRANCH,
+        DemoCluster.apiKeyOf(BRANCH),
+        MODEL,
+        prompt,
+        600,
+        true,
+        "batch",
+        "summary-" + number);
   }
 
   private static Call urgentCall(int number) {
     String prompt = "counter reply " + number + " [tokens=12]";
-    return new Call(HALL, DemoFloor.keyOf(HALL), MODEL, prompt, 32, true, "urgent", "");
+    return new Call(HALL, DemoCluster.apiKeyOf(HALL), MODEL, prompt, 32, true, "urgent", "");
   }
 
   private static Call smallCall(int number) {
     String prompt = "small question " + number;
-    return new Call(SMALL, DemoFloor.keyOf(SMALL), MODEL, prompt, 100, false, "urgent", "");
+    return new Call(SMALL, DemoCluster.apiKeyOf(SMALL), MODEL, prompt, 100, false, "urgent", "");
   }
 
   /** Spends a small budget until a call is refused, tops it up and checks that calls are served. */
-  private List<CallResult> topUp(DemoFloor floor, Schedule schedule) {
+  private List<CallResult> spendAndTopUp(DemoCluster cluster, OpenLoopSender sender) {
     List<CallResult> results = new ArrayList<>();
     CallResult last = null;
     for (int number = 0; number < 20 && (last == null || last.isServed()); number++) {
       int call = number;
-      last = schedule.run(index -> smallCall(call), 1, 100, () -> floor.caller(0)).get(0);
+      last = sender.run(index -> smallCall(call), 1, 100, () -> cluster.callerAddress(0)).get(0);
       results.add(last);
     }
-    expect("a spent budget refuses with 402", last.status() == 402);
-    floor.declareBudget(SMALL + "-2026", SMALL, 600, 500);
-    CallResult after = schedule.run(index -> smallCall(99), 1, 100, () -> floor.caller(1)).get(0);
+    check("a spent budget refuses with 402", last.status() == 402);
+    cluster.declareBudget(SMALL + "-2026", SMALL, 600, 500);
+    CallResult after =
+        sender.run(index -> smallCall(99), 1, 100, () -> cluster.callerAddress(1)).get(0);
     results.add(after);
-    expect("a topped-up budget serves again", after.isServed());
+    check("a topped-up budget serves again", after.isServed());
     System.out.println(
         "top-up: "
             + (results.size() - 2)
@@ -132,31 +140,31 @@
   }
 
   /** Sends each ticket twice under its key and checks that the service runs it once. */
-  private int callTickets(DemoFloor floor) {
+  private int sendTickets(DemoCluster cluster) {
     List<CompletableFuture<HttpReply>> replies = new ArrayList<>();
     for (int number = 0; number < TICKET_CALLS; number++) {
-      replies.add(callTicket(floor, number, 0));
-      replies.add(callTicket(floor, number, 1));
+      replies.add(sendTicket(cluster, number, 0));
+      replies.add(sendTicket(cluster, number, 1));
     }
     replies.forEach(CompletableFuture::join);
-    Map<String, Integer> served = floor.plain().served();
-    expect(
+    Map<String, Integer> served = cluster.plainService().served();
+    check(
         "each ticket is called exactly once",
         served.size() == TICKET_CALLS && served.values().stream().allMatch(count -> count == 1));
-    expect(
+    check(
         "both callers of a ticket get its answer",
         replies.stream().map(CompletableFuture::join).allMatch(HttpReply::isSuccess));
     return served.size();
   }
 
-  private static CompletableFuture<HttpReply> callTicket(
-      DemoFloor floor, int number, int instance) {
+  private static CompletableFuture<HttpReply> sendTicket(
+      DemoCluster cluster, int number, int instance) {
     HttpHeaders headers = new DefaultHttpHeaders();
-    headers.set(HttpHeaderNames.AUTHORIZATION, "Bearer " + DemoFloor.keyOf(HALL));
+    headers.set(HttpHeaderNames.AUTHORIZATION, "Bearer " + DemoCluster.apiKeyOf(HALL));
     headers.set("idempotency-key", "ticket-" + number);
     return ResponseAggregator.of(
-        floor.http(),
-        floor.caller(instance),
+        cluster.http(),
+        cluster.callerAddress(instance),
         HttpMethod.POST,
         "/services/" + TICKETS + "/call",
         headers,
@@ -164,10 +172,10 @@
         30_000);
   }
 
-  private static void awaitBills(DemoFloor floor, AtomicBoolean drained) {
-    for (int tries = 0; tries < 200; tries++) {
+  private static void awaitBills(DemoCluster cluster, AtomicBoolean drained) {
+    for (int attempt = 0; attempt < 200; attempt++) {
       boolean posted =
-          floor.instances().stream()
+          cluster.instances().stream()
               .allMatch(
                   instance ->
                       instance.node().budgets().bills().pendingCount() == 0
@@ -175,12 +183,12 @@
       if (posted && drained.get()) {
         return;
       }
-      DemoFloor.pause(50);
+      DemoCluster.sleep(50);
     }
   }
 
   private void report(
-      DemoFloor floor,
+      DemoCluster cluster,
       List<CallResult> results,
       List<CallResult> urgent,
       List<CallResult> batch,
@@ -188,20 +196,20 @@
       boolean drained) {
     long whole = results.stream().filter(CallResult::isServed).count();
     System.out.println("requests: " + results.size() + " answered whole and checked: " + whole);
-    expect("every caller got its own whole answer", whole == results.size());
+    check("every caller got its own whole answer", whole == results.size());
     results.stream().filter(result -> !result.isServed()).limit(5).forEach(System.out::println);
-    expect("no stream was cut off by the drain, and the drain ended", drained);
+    check("no stream was cut off by the drain, and the drain ended", drained);
     System.out.println(
         "tickets: " + ticketsServed + " called, each by two callers with the same key");
     System.out.println("urgent first byte: " + Latencies.of(urgent, CallResult::firstByteMs));
     System.out.println("batch whole answer: " + Latencies.of(batch, CallResult::lastByteMs));
-    long generated = floor.engines().values().stream().mapToLong(EngineServer::tokens).sum();
+    long generated = cluster.engines().values().stream().mapToLong(EngineServer::tokens).sum();
     System.out.println("tokens generated by the engines: " + generated);
-    reportBills(floor, results, ticketsServed);
+    reportBills(cluster, results, ticketsServed);
   }
 
-  private void reportBills(DemoFloor floor, List<CallResult> results, int ticketsServed) {
-    AuditReport audit = new Auditor(floor.platform().table()).audit().join();
+  private void reportBills(DemoCluster cluster, List<CallResult> results, int ticketsServed) {
+    AuditReport audit = new Auditor(cluster.platform().table()).audit().join();
     Map<String, Long> counted =
         results.stream()
             .collect(
@@ -223,18 +231,18 @@
                       + sums.billedTokens()
                       + ", counted by callers "
                       + expected);
-              expect("billed equals counted for " + budget, sums.billedTokens() == expected);
-              expect(budget + " is not overspent", sums.billedTokens() <= sums.paidTokens());
+              check("billed equals counted for " + budget, sums.billedTokens() == expected);
+              check(budget + " is not overspent", sums.billedTokens() <= sums.paidTokens());
             });
     System.out.println("requests billed: " + audit.billedRequestCount());
-    expect(
+    check(
         "each request has one bill", audit.billedRequestCount() == results.size() + ticketsServed);
-    audit.findings().forEach(finding -> expect("audit: " + finding, false));
+    audit.findings().forEach(finding -> check("audit: " + finding, false));
   }
 
-  private void expect(String promise, boolean held) {
+  private void check(String description, boolean held) {
     if (!held) {
-      broken.add(promise);
+      failedChecks.add(description);
     }
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/AllotmentPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/AllotmentPolicy.java
@@ -22,21 +22,22 @@
   }
 
   @Override
-  public CompletableFuture<Optional<Hold>> reserve(String instance, String budget, long tokens) {
+  public CompletableFuture<Optional<TokenReservation>> reserve(
+      String instance, String budget, long tokens) {
     FleetNode node = fleet.node(instance);
     return node.node()
         .budgets()
         .account(budget)
         .reserve(tokens)
         .handle((reservation, error) -> Optional.ofNullable(reservation))
-        .thenApply(found -> found.map(reservation -> hold(node, reservation)));
+        .thenApply(found -> found.map(reservation -> toTokenReservation(node, reservation)));
   }
 
-  private Hold hold(FleetNode node, Reservation reservation) {
+  private TokenReservation toTokenReservation(FleetNode node, Reservation reservation) {
     String run = "run-" + runs++;
     return usedTokens -> {
-      List<BillPart> owed = reservation.settle(usedTokens);
-      owed.forEach(
+      List<BillPart> parts = reservation.settle(usedTokens);
+      parts.forEach(
           part -> {
             var unused =
                 node.node()
@@ -53,22 +54,22 @@
   }
 
   @Override
-  public long withinReachTokens(String instance, String budget) {
+  public long reachableTokens(String instance, String budget) {
     FleetNode from = fleet.node(instance);
-    List<FleetNode> side =
+    List<FleetNode> reachableNodes =
         fleet.nodes().stream()
-            .filter(node -> !node.isDead())
+            .filter(node -> !node.isKilled())
             .filter(node -> fleet.reaches(from, node))
             .toList();
     long heldTokens =
-        side.stream()
+        reachableNodes.stream()
             .mapToLong(node -> node.node().budgets().account(budget).availableTokens())
             .sum();
-    boolean platform = side.stream().anyMatch(fleet::reachesPlatform);
+    boolean platform = reachableNodes.stream().anyMatch(fleet::reachesPlatform);
     return heldTokens + (platform ? freeTokens(budget) : 0);
   }
 
   private long freeTokens(String budget) {
-    return BudgetRow.of(fleet.readNow(BudgetTables.budget(budget))).freeTokens();
+    return BudgetRow.of(fleet.readBypassingFaults(BudgetTables.budget(budget))).freeTokens();
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/BudgetExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/BudgetExperiment.java
@@ -8,7 +8,7 @@
 import io.mothrill.core.resource.TeamKey;
 import io.mothrill.core.resource.TeamSpec;
 import io.mothrill.core.resource.TopUp;
-import io.mothrill.lab.experiment.SpendRun.Figures;
+import io.mothrill.lab.experiment.SpendRun.Results;
 import io.mothrill.lab.fleet.Fleet;
 import io.mothrill.wire.json.Json;
 import java.util.LinkedHashMap;
@@ -42,48 +42,49 @@
         "over",
         "reads",
         "writes");
-    for (Place place : List.of(Place.ANADOLU, Place.GA_CENTRAL)) {
+    for (Topology topology : List.of(Topology.ANADOLU, Topology.GA_CENTRAL)) {
       for (Situation situation : Situation.values()) {
-        policies(place).forEach((name, policy) -> cells.add(cell(place, situation, name, policy)));
+        policies(topology)
+            .forEach((name, policy) -> cells.add(cell(topology, situation, name, policy)));
       }
     }
     figures.set("reserve", measureReserve());
     return figures;
   }
 
-  private static Map<String, Function<Fleet, SpendPolicy>> policies(Place place) {
+  private static Map<String, Function<Fleet, SpendPolicy>> policies(Topology topology) {
     Map<String, Function<Fleet, SpendPolicy>> policies = new LinkedHashMap<>();
     policies.put("allotments", AllotmentPolicy::new);
     policies.put("central", CentralPolicy::new);
-    policies.put("split", fleet -> new SplitPolicy(fleet, place.ids()));
+    policies.put("split", fleet -> new SplitPolicy(fleet, topology.instanceIds()));
     return policies;
   }
 
   private static ObjectNode cell(
-      Place place, Situation situation, String name, Function<Fleet, SpendPolicy> policy) {
-    Figures found = new SpendRun(place, situation, SEED, policy).run();
+      Topology topology, Situation situation, String name, Function<Fleet, SpendPolicy> policy) {
+    Results results = new SpendRun(topology, situation, SEED, policy).run();
     System.out.printf(
         "%-11s %-12s %-10s %8d %8d %8.3f%% %9d %8d %8d %8d%n",
-        place.name(),
+        topology.name(),
         situation,
         name,
-        found.asked(),
-        found.refusedFalsely(),
-        found.falseShare() * 100,
-        found.refusedInReach(),
-        found.overspentTokens(),
-        found.tableReads(),
-        found.tableWrites());
+        results.requests(),
+        results.falseRefusals(),
+        results.falseRefusalRatio() * 100,
+        results.reachableRefusals(),
+        results.overspentTokens(),
+        results.tableReads(),
+        results.tableWrites());
     return Json.object()
-        .put("place", place.name())
+        .put("place", topology.name())
         .put("situation", situation.name())
         .put("policy", name)
-        .put("asked", found.asked())
-        .put("refusedFalsely", found.refusedFalsely())
-        .put("refusedInReach", found.refusedInReach())
-        .put("overspentTokens", found.overspentTokens())
-        .put("tableReads", found.tableReads())
-        .put("tableWrites", found.tableWrites());
+        .put("asked", results.requests())
+        .put("refusedFalsely", results.falseRefusals())
+        .put("refusedInReach", results.reachableRefusals())
+        .put("overspentTokens", results.overspentTokens())
+        .put("tableReads", results.tableReads())
+        .put("tableWrites", results.tableWrites());
   }
 
   /** Measures the time to reserve and release tokens when the slice has enough of them. */
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CapacityExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CapacityExperiment.java
@@ -29,25 +29,25 @@
 
   private static final long MEASURED_S = 120;
   private static final long SECOND_MS = 1_000;
-  private static final long WARM_MS = 60_000;
+  private static final long WARM_UP_MS = 60_000;
   private static final int DOMAINS = 3;
   private static final double NANOS_PER_MICRO = 1_000;
   private static final double BYTES_PER_KB = 1_024;
 
   /** The size of the fleet in one line. */
-  private record Size(int nodes, int budgets, int activeBudgets, int upstreams) {}
+  private record FleetSize(int nodes, int budgets, int activeBudgets, int upstreams) {}
 
-  private static final List<Size> SIZES =
+  private static final List<FleetSize> SIZES =
       List.of(
-          new Size(6, 0, 0, 0),
-          new Size(24, 0, 0, 0),
-          new Size(48, 0, 0, 0),
-          new Size(96, 0, 0, 0),
-          new Size(6, 1_000, 0, 0),
-          new Size(6, 100, 100, 0),
-          new Size(6, 400, 400, 0),
-          new Size(24, 400, 400, 0),
-          new Size(6, 0, 0, 1_000));
+          new FleetSize(6, 0, 0, 0),
+          new FleetSize(24, 0, 0, 0),
+          new FleetSize(48, 0, 0, 0),
+          new FleetSize(96, 0, 0, 0),
+          new FleetSize(6, 1_000, 0, 0),
+          new FleetSize(6, 100, 100, 0),
+          new FleetSize(6, 400, 400, 0),
+          new FleetSize(24, 400, 400, 0),
+          new FleetSize(6, 0, 0, 1_000));
 
   @Override
   public ObjectNode run() {
@@ -61,11 +61,11 @@
     return figures;
   }
 
-  private static ObjectNode measure(Size size) {
+  private static ObjectNode measure(FleetSize size) {
     final long memoryBefore = usedBytes();
     Fleet fleet = start(size);
-    fleet.advanceMs(WARM_MS);
-    spend(fleet, size, WARM_MS / SECOND_MS);
+    fleet.advanceMs(WARM_UP_MS);
+    spend(fleet, size, WARM_UP_MS / SECOND_MS);
     final long messages = fleet.messageCount();
     final long reads = fleet.table().readCount();
     final long writes = fleet.table().writeCount();
@@ -101,7 +101,7 @@
         line.get("kilobytesPerNode").asDouble());
   }
 
-  private static Fleet start(Size size) {
+  private static Fleet start(FleetSize size) {
     Fleet fleet = new Fleet(NodeSettings.standard(), 1);
     for (int node = 0; node < size.nodes(); node++) {
       fleet.start("n-" + node, "domain-" + node % DOMAINS);
@@ -124,7 +124,7 @@
   }
 
   /** Spends from every active budget at every node once per second. */
-  private static void spend(Fleet fleet, Size size, long seconds) {
+  private static void spend(Fleet fleet, FleetSize size, long seconds) {
     for (long second = 0; second < seconds; second++) {
       for (int budget = 0; budget < size.activeBudgets(); budget++) {
         String name = "b" + budget;
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CentralPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/CentralPolicy.java
@@ -22,19 +22,20 @@
   }
 
   @Override
-  public CompletableFuture<Optional<Hold>> reserve(String instance, String budget, long tokens) {
-    long left = withinReachTokens(instance, budget);
-    if (left < tokens) {
+  public CompletableFuture<Optional<TokenReservation>> reserve(
+      String instance, String budget, long tokens) {
+    long reachableTokens = reachableTokens(instance, budget);
+    if (reachableTokens < tokens) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
     leftTokens.merge(budget, -tokens, Long::sum);
     writes++;
-    Hold hold =
+    TokenReservation reservation =
         usedTokens -> {
           leftTokens.merge(budget, tokens - usedTokens, Long::sum);
           writes++;
         };
-    return CompletableFuture.completedFuture(Optional.of(hold));
+    return CompletableFuture.completedFuture(Optional.of(reservation));
   }
 
   @Override
@@ -43,7 +44,7 @@
   }
 
   @Override
-  public long withinReachTokens(String instance, String budget) {
+  public long reachableTokens(String instance, String budget) {
     return fleet.reachesPlatform(fleet.node(instance)) ? leftTokens.getOrDefault(budget, 0L) : 0;
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
@@ -30,12 +30,12 @@
 
   @Override
   public int run() throws IOException {
-    Supplier<Experiment> found = EXPERIMENTS.get(name);
-    if (found == null) {
+    Supplier<Experiment> experiment = EXPERIMENTS.get(name);
+    if (experiment == null) {
       String known = String.join(", ", EXPERIMENTS.keySet().stream().sorted().toList());
       throw InvalidInputException.of(FieldError.refused("NAME", "must be one of " + known));
     }
-    ObjectNode figures = found.get().run();
+    ObjectNode figures = experiment.get().run();
     if (!json.isEmpty()) {
       Files.writeString(Path.of(json), figures.toPrettyString());
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
@@ -1,8 +1,8 @@
 package io.mothrill.lab.experiment;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.mothrill.lab.scenario.LoadOutcome;
 import io.mothrill.lab.scenario.Scenario;
-import io.mothrill.lab.scenario.ScenarioCount;
 import io.mothrill.wire.json.Json;
 
 /**
@@ -53,14 +53,15 @@
       ObjectNode figures, String name, String fault, String instances, String keyed) {
     String load =
         "load name=out plain service=sira every=200ms for=10m " + instances + keyed + "\n";
-    ScenarioCount count =
+    LoadOutcome outcome =
         Scenario.parse(FLEET + fault + load + "advance 30s\n").runAndCount(1, "out");
     System.out.printf(
-        "%-52s asked %5d served %5d  %s%n", name, count.asked(), count.served(), count.states());
+        "%-52s asked %5d served %5d  %s%n",
+        name, outcome.sent(), outcome.served(), outcome.states());
     figures
         .putObject(name)
-        .put("asked", count.asked())
-        .put("served", count.served())
-        .put("runTwice", count.runTwice());
+        .put("asked", outcome.sent())
+        .put("served", outcome.served())
+        .put("runTwice", outcome.runMoreThanOnce());
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OverheadExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OverheadExperiment.java
@@ -1,12 +1,12 @@
 package io.mothrill.lab.experiment;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.mothrill.lab.demo.DemoFloor;
+import io.mothrill.lab.demo.DemoCluster;
 import io.mothrill.lab.load.Call;
 import io.mothrill.lab.load.CallResult;
 import io.mothrill.lab.load.CheckingCaller;
 import io.mothrill.lab.load.Latencies;
-import io.mothrill.lab.load.Schedule;
+import io.mothrill.lab.load.OpenLoopSender;
 import io.mothrill.lab.standin.EngineSettings;
 import io.mothrill.wire.http.Address;
 import io.mothrill.wire.json.Json;
@@ -32,41 +32,41 @@
   @Override
   public ObjectNode run() {
     EngineSettings engine = new EngineSettings(512, 2, 4_096, 64, 100);
-    try (DemoFloor floor = new DemoFloor(1, 1, engine, Map.of())) {
-      floor.declareTeam(TEAM);
-      floor.declareBudget(TEAM, TEAM, 1_000_000_000L);
-      floor.declareModel(MODEL, engine);
-      floor.awaitConfig();
-      return measure(floor);
+    try (DemoCluster cluster = new DemoCluster(1, 1, engine, Map.of())) {
+      cluster.declareTeam(TEAM);
+      cluster.declareBudget(TEAM, TEAM, 1_000_000_000L);
+      cluster.declareModel(MODEL, engine);
+      cluster.awaitConfig();
+      return measure(cluster);
     }
   }
 
-  private static ObjectNode measure(DemoFloor floor) {
-    Schedule schedule = new Schedule(new CheckingCaller(floor.http()));
-    Address engine = new Address("127.0.0.1", floor.engines().get("engine-1").port());
+  private static ObjectNode measure(DemoCluster cluster) {
+    OpenLoopSender sender = new OpenLoopSender(new CheckingCaller(cluster.http()));
+    Address engine = new Address("127.0.0.1", cluster.engines().get("engine-1").port());
     List<CallResult> direct = new ArrayList<>();
-    List<CallResult> through = new ArrayList<>();
+    List<CallResult> routed = new ArrayList<>();
     double cpuNanos = 0;
     for (int round = 0; round < ROUNDS; round++) {
       boolean counted = round > 1;
-      List<CallResult> directRound = calls(schedule, engine, round);
+      List<CallResult> directRound = calls(sender, engine, round);
       double before = instanceCpuNanos();
-      List<CallResult> throughRound = calls(schedule, floor.caller(0), round);
+      List<CallResult> routedRound = calls(sender, cluster.callerAddress(0), round);
       if (counted) {
         cpuNanos += instanceCpuNanos() - before;
         direct.addAll(directRound);
-        through.addAll(throughRound);
+        routed.addAll(routedRound);
       }
     }
-    return report(direct, through, cpuNanos / through.size());
+    return report(direct, routed, cpuNanos / routed.size());
   }
 
-  private static List<CallResult> calls(Schedule schedule, Address to, int round) {
-    return schedule.run(
+  private static List<CallResult> calls(OpenLoopSender sender, Address to, int round) {
+    return sender.run(
         number ->
             new Call(
                 TEAM,
-                DemoFloor.keyOf(TEAM),
+                DemoCluster.apiKeyOf(TEAM),
                 MODEL,
                 "question " + round + "." + number,
                 8,
@@ -90,26 +90,26 @@
   }
 
   private static ObjectNode report(
-      List<CallResult> direct, List<CallResult> through, double cpuNanosPerCall) {
+      List<CallResult> direct, List<CallResult> routed, double cpuNanosPerCall) {
     Latencies directMs = Latencies.of(direct, CallResult::firstByteMs);
-    Latencies throughMs = Latencies.of(through, CallResult::firstByteMs);
-    long whole = through.stream().filter(CallResult::isServed).count();
+    Latencies routedMs = Latencies.of(routed, CallResult::firstByteMs);
+    long whole = routed.stream().filter(CallResult::isServed).count();
     double perCore = NANOS_PER_SECOND / cpuNanosPerCall;
     System.out.println("direct, first byte:  " + directMs);
-    System.out.println("through, first byte: " + throughMs);
-    System.out.println("through, whole:      " + Latencies.of(through, CallResult::lastByteMs));
-    System.out.printf("served whole: %d of %d%n", whole, through.size());
+    System.out.println("through, first byte: " + routedMs);
+    System.out.println("through, whole:      " + Latencies.of(routed, CallResult::lastByteMs));
+    System.out.printf("served whole: %d of %d%n", whole, routed.size());
     System.out.printf(
         "added to first byte: p50 %.2f ms, p99 %.2f ms%n",
-        throughMs.p50Ms() - directMs.p50Ms(), throughMs.p99Ms() - directMs.p99Ms());
+        routedMs.p50Ms() - directMs.p50Ms(), routedMs.p99Ms() - directMs.p99Ms());
     System.out.printf(
         "processor time per request of 8 tokens: %.0f us, %.0f requests per second and core%n",
         cpuNanosPerCall / 1_000, perCore);
     return Json.object()
         .put("directP50Ms", directMs.p50Ms())
         .put("directP99Ms", directMs.p99Ms())
-        .put("throughP50Ms", throughMs.p50Ms())
-        .put("throughP99Ms", throughMs.p99Ms())
+        .put("throughP50Ms", routedMs.p50Ms())
+        .put("throughP99Ms", routedMs.p99Ms())
         .put("cpuMicrosPerRequest", cpuNanosPerCall / 1_000)
         .put("requestsPerSecondAndCore", perCore);
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendPolicy.java
@@ -7,7 +7,7 @@
 interface SpendPolicy {
 
   /** Tokens reserved for one request. */
-  interface Hold {
+  interface TokenReservation {
 
     void settle(long usedTokens);
   }
@@ -17,11 +17,12 @@
    *
    * @return the reservation, or empty if the request is refused
    */
-  CompletableFuture<Optional<Hold>> reserve(String instance, String budget, long tokens);
+  CompletableFuture<Optional<TokenReservation>> reserve(
+      String instance, String budget, long tokens);
 
   /** Called when a budget is topped up. */
   void onTopUp(String budget, long tokens);
 
   /** Returns the number of tokens that an instance can obtain within its side of a partition. */
-  long withinReachTokens(String instance, String budget);
+  long reachableTokens(String instance, String budget);
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendRun.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SpendRun.java
@@ -22,49 +22,50 @@
   private static final long STEP_MS = 100;
   private static final long CALL_MS = 1_000;
   private static final long HOUR_MS = 3_600_000;
-  private static final double LAST_SHARE = 0.05;
+  private static final double LAST_TOKENS_RATIO = 0.05;
   private static final long SETTLE_MS = 60_000;
 
-  private final Place place;
+  private final Topology topology;
   private final Situation situation;
   private final Fleet fleet;
   private final SpendPolicy policy;
   private final Random random;
   private final Map<String, Long> paidTokens = new HashMap<>();
-  private final Map<String, Long> heldTokens = new HashMap<>();
+  private final Map<String, Long> reservedTokens = new HashMap<>();
   private final Map<String, Long> usedTokens = new HashMap<>();
   private final Map<String, List<TopUp>> topUps = new HashMap<>();
-  private final List<String> alive;
-  private long asked;
-  private long refusedFalsely;
-  private long refusedInReach;
+  private final List<String> liveInstances;
+  private long requests;
+  private long falseRefusals;
+  private long reachableRefusals;
   private long maxOverspentTokens;
 
-  SpendRun(Place place, Situation situation, long seed, Function<Fleet, SpendPolicy> policyOf) {
-    this.place = place;
+  SpendRun(
+      Topology topology, Situation situation, long seed, Function<Fleet, SpendPolicy> policyOf) {
+    this.topology = topology;
     this.situation = situation;
     this.random = new Random(seed);
     this.fleet = new Fleet(NodeSettings.standard(), seed);
-    this.alive = new ArrayList<>(place.ids());
-    place.ids().forEach(id -> fleet.start(id, place.instances().get(id)));
+    this.liveInstances = new ArrayList<>(topology.instanceIds());
+    topology.instanceIds().forEach(id -> fleet.start(id, topology.instances().get(id)));
     this.policy = policyOf.apply(fleet);
   }
 
   /** The results of a run; only calls that the budget could cover are counted. */
-  record Figures(
-      long asked,
-      long refusedFalsely,
-      long refusedInReach,
+  record Results(
+      long requests,
+      long falseRefusals,
+      long reachableRefusals,
       long overspentTokens,
       long tableReads,
       long tableWrites) {
 
-    double falseShare() {
-      return asked == 0 ? 0 : (double) refusedFalsely / asked;
+    double falseRefusalRatio() {
+      return requests == 0 ? 0 : (double) falseRefusals / requests;
     }
   }
 
-  Figures run() {
+  Results run() {
     fleet.declare("team", new TeamSpec(List.of(TeamKey.hash("s", "x")), 1));
     for (int team = 0; team < TEAMS; team++) {
       topUp("b" + team, budgetTokens(team));
@@ -73,13 +74,13 @@
     warmUp();
     final long readsBefore = fleet.table().readCount();
     final long writesBefore = fleet.table().writeCount();
-    play();
+    runSteps();
     fleet.network().healAll();
     fleet.advanceMs(SETTLE_MS);
-    return new Figures(
-        asked,
-        refusedFalsely,
-        refusedInReach,
+    return new Results(
+        requests,
+        falseRefusals,
+        reachableRefusals,
         maxOverspentTokens,
         fleet.table().readCount() - readsBefore,
         fleet.table().writeCount() - writesBefore);
@@ -109,14 +110,14 @@
     }
   }
 
-  private void play() {
+  private void runSteps() {
     long steps = durationMs() / STEP_MS;
     for (long step = 0; step < steps; step++) {
       if (step == 0) {
-        fail();
+        injectFault();
       }
       if (step == SETTLE_MS / STEP_MS) {
-        replace();
+        replaceCrashed();
       }
       if (step == steps / 2 && situation == Situation.PARTITION) {
         topUp("b0", budgetTokens(0) / 2);
@@ -129,23 +130,23 @@
     return situation == Situation.PARTITION ? HOUR_MS : HOUR_MS / 6;
   }
 
-  private void fail() {
+  private void injectFault() {
     if (situation == Situation.PARTITION) {
-      String domain = place.lastDomain();
-      fleet.network().cut(domain, Network.PLATFORM);
-      place.instances().values().stream()
+      String domain = topology.lastDomain();
+      fleet.network().partition(domain, Network.PLATFORM);
+      topology.instances().values().stream()
           .filter(other -> !other.equals(domain))
-          .forEach(other -> fleet.network().cut(domain, other));
+          .forEach(other -> fleet.network().partition(domain, other));
     } else if (situation == Situation.CRASH) {
-      fleet.node(alive.remove(0)).kill();
+      fleet.node(liveInstances.remove(0)).kill();
     }
   }
 
-  private void replace() {
+  private void replaceCrashed() {
     if (situation == Situation.CRASH) {
-      String id = place.ids().get(0);
-      fleet.start(id, place.instances().get(id));
-      alive.add(0, id);
+      String id = topology.instanceIds().get(0);
+      fleet.start(id, topology.instances().get(id));
+      liveInstances.add(0, id);
     }
   }
 
@@ -162,48 +163,49 @@
     String instance = instance();
     long needTokens = 100L + random.nextInt(400);
     long leftTokens = leftTokens(budget);
-    boolean counts = counted && leftTokens >= needTokens && countsNow(budget);
+    boolean counts = counted && leftTokens >= needTokens && isCounted(budget);
     var unused =
         policy
             .reserve(instance, budget, needTokens)
-            .thenAccept(hold -> onAnswer(instance, budget, needTokens, counts, hold));
+            .thenAccept(
+                reservation -> onReserveResult(instance, budget, needTokens, counts, reservation));
   }
 
   private String instance() {
     boolean first = situation == Situation.SKEW && random.nextInt(10) > 0;
-    return alive.get(first ? 0 : random.nextInt(alive.size()));
+    return liveInstances.get(first ? 0 : random.nextInt(liveInstances.size()));
   }
 
-  private boolean countsNow(String budget) {
+  private boolean isCounted(String budget) {
     return situation != Situation.LAST_TOKENS
-        || leftTokens(budget) < paidTokens.get(budget) * LAST_SHARE;
+        || leftTokens(budget) < paidTokens.get(budget) * LAST_TOKENS_RATIO;
   }
 
   private long leftTokens(String budget) {
     return paidTokens.get(budget)
-        - heldTokens.getOrDefault(budget, 0L)
+        - reservedTokens.getOrDefault(budget, 0L)
         - usedTokens.getOrDefault(budget, 0L);
   }
 
-  private void onAnswer(
+  private void onReserveResult(
       String instance,
       String budget,
       long needTokens,
       boolean counts,
-      Optional<SpendPolicy.Hold> hold) {
-    asked += counts ? 1 : 0;
-    if (hold.isPresent()) {
-      begin(budget, needTokens, hold.get());
+      Optional<SpendPolicy.TokenReservation> reservation) {
+    requests += counts ? 1 : 0;
+    if (reservation.isPresent()) {
+      startCall(budget, needTokens, reservation.get());
     } else if (counts && leftTokens(budget) >= needTokens) {
       // The refusal is correct if another call has taken the remaining tokens in the meantime.
-      refusedFalsely++;
-      boolean inReach = policy.withinReachTokens(instance, budget) >= needTokens;
-      refusedInReach += inReach ? 1 : 0;
+      falseRefusals++;
+      boolean reachable = policy.reachableTokens(instance, budget) >= needTokens;
+      reachableRefusals += reachable ? 1 : 0;
     }
   }
 
-  private void begin(String budget, long needTokens, SpendPolicy.Hold hold) {
-    heldTokens.merge(budget, needTokens, Long::sum);
+  private void startCall(String budget, long needTokens, SpendPolicy.TokenReservation reservation) {
+    reservedTokens.merge(budget, needTokens, Long::sum);
     long usedPercent = 30L + random.nextInt(50);
     long spentTokens = needTokens * usedPercent / 100;
     maxOverspentTokens = Math.max(maxOverspentTokens, -leftTokens(budget));
@@ -212,9 +214,9 @@
         .after(
             CALL_MS,
             () -> {
-              heldTokens.merge(budget, -needTokens, Long::sum);
+              reservedTokens.merge(budget, -needTokens, Long::sum);
               usedTokens.merge(budget, spentTokens, Long::sum);
-              hold.settle(spentTokens);
+              reservation.settle(spentTokens);
             });
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SplitPolicy.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/SplitPolicy.java
@@ -19,30 +19,33 @@
     this.instances = instances;
   }
 
-  private static String share(String instance, String budget) {
+  private static String shareKey(String instance, String budget) {
     return instance + "/" + budget;
   }
 
   @Override
-  public CompletableFuture<Optional<Hold>> reserve(String instance, String budget, long tokens) {
-    String share = share(instance, budget);
-    if (leftTokens.getOrDefault(share, 0L) < tokens) {
+  public CompletableFuture<Optional<TokenReservation>> reserve(
+      String instance, String budget, long tokens) {
+    String shareKey = shareKey(instance, budget);
+    if (leftTokens.getOrDefault(shareKey, 0L) < tokens) {
       return CompletableFuture.completedFuture(Optional.empty());
     }
-    leftTokens.merge(share, -tokens, Long::sum);
-    Hold hold = usedTokens -> leftTokens.merge(share, tokens - usedTokens, Long::sum);
-    return CompletableFuture.completedFuture(Optional.of(hold));
+    leftTokens.merge(shareKey, -tokens, Long::sum);
+    TokenReservation reservation =
+        usedTokens -> leftTokens.merge(shareKey, tokens - usedTokens, Long::sum);
+    return CompletableFuture.completedFuture(Optional.of(reservation));
   }
 
   @Override
   public void onTopUp(String budget, long tokens) {
-    List<String> reached =
+    List<String> reachable =
         instances.stream().filter(id -> fleet.reachesPlatform(fleet.node(id))).toList();
-    reached.forEach(id -> leftTokens.merge(share(id, budget), tokens / reached.size(), Long::sum));
+    reachable.forEach(
+        id -> leftTokens.merge(shareKey(id, budget), tokens / reachable.size(), Long::sum));
   }
 
   @Override
-  public long withinReachTokens(String instance, String budget) {
-    return leftTokens.getOrDefault(share(instance, budget), 0L);
+  public long reachableTokens(String instance, String budget) {
+    return leftTokens.getOrDefault(shareKey(instance, budget), 0L);
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Place.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/Topology.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** The topology of a deployment: the failure domain of each entry instance. */
-record Place(String name, Map<String, String> instances) {
+record Topology(String name, Map<String, String> instances) {
 
-  static final Place ANADOLU =
-      new Place(
+  static final Topology ANADOLU =
+      new Topology(
           "anadolu",
           Map.of(
               "ankara-a-1", "ankara-a",
@@ -17,8 +17,8 @@
               "konya-1", "konya",
               "kayseri-1", "kayseri"));
 
-  static final Place GA_CENTRAL =
-      new Place(
+  static final Topology GA_CENTRAL =
+      new Topology(
           "ga-central",
           Map.of(
               "macon-a-1", "macon-a",
@@ -28,12 +28,12 @@
               "warner-c-1", "warner-c",
               "warner-c-2", "warner-c"));
 
-  List<String> ids() {
+  List<String> instanceIds() {
     return instances.keySet().stream().sorted().toList();
   }
 
   /** Returns the domain that is isolated in partitions: that of the last instance. */
   String lastDomain() {
-    return instances.get(ids().get(ids().size() - 1));
+    return instances.get(instanceIds().get(instanceIds().size() - 1));
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/Exploration.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/Exploration.java
@@ -31,7 +31,7 @@
  * checked at the end.
  *
  * <pre>{@code
- * List<String> broken = new Exploration(seed, FaultMix.WITH_DEATHS).run(200);
+ * List<String> violations = new Exploration(seed, FaultMix.WITH_DEATHS).run(200);
  * }</pre>
  */
 public final class Exploration {
@@ -41,15 +41,15 @@
   private static final List<String> DOMAINS = List.of("ankara-a", "ankara-b", "konya");
   private static final List<String> ENGINES = List.of("e1", "e2");
   private static final List<Fault> PLATFORM_FAULTS = List.of(Fault.values());
-  private static final String TICKETS = "t1";
+  private static final String TICKET_UPSTREAM = "t1";
   private static final String SECRET = "secret";
-  private static final long HEAL_MS = 120_000;
+  private static final long RECOVERY_MS = 120_000;
   private static final int KEYS = 40;
 
   private final Random random;
   private final FaultMix mix;
   private final Fleet fleet;
-  private final List<Made> made = new ArrayList<>();
+  private final List<SentCall> sentCalls = new ArrayList<>();
   private final List<TopUp> topUps = new ArrayList<>();
   private final List<String> log = new ArrayList<>();
   private Fault platformFault = Fault.NONE;
@@ -67,9 +67,10 @@
     this.fleet = new Fleet(NodeSettings.standard(), seed);
   }
 
-  private record Made(Optional<String> key, String body, boolean sole, MemoryCaller caller) {
+  private record SentCall(
+      Optional<String> key, String body, boolean nonIdempotent, MemoryCaller caller) {
 
-    boolean isUnknown() {
+    boolean isKeyUnknown() {
       return caller.key().isEmpty();
     }
 
@@ -109,7 +110,7 @@
     declareService("asistan", ServiceType.MODEL, true);
     declareService("sira", ServiceType.PLAIN, false);
     ENGINES.forEach(name -> declareUpstream(name, "asistan"));
-    declareUpstream(TICKETS, "sira");
+    declareUpstream(TICKET_UPSTREAM, "sira");
     fleet.advanceMs(3_000);
   }
 
@@ -136,10 +137,10 @@
     if (dice < 55) {
       call();
     } else if (dice < 75) {
-      note("advance", String.valueOf(advance()));
+      logStep("advance", String.valueOf(advance()));
     } else if (dice < 78 && platformFault == Fault.NONE) {
       topUp(500);
-      note("top-up", "500");
+      logStep("top-up", "500");
     } else {
       fault(dice);
     }
@@ -156,16 +157,16 @@
     String domain = DOMAINS.get(random.nextInt(DOMAINS.size()));
     if (dice < 82) {
       String other = random.nextBoolean() ? Network.PLATFORM : "ankara-a";
-      toggleCut(domain, other);
+      partition(domain, other);
     } else if (dice < 85) {
       fleet.network().healAll();
-      note("heal", "all");
+      logStep("heal", "all");
     } else if (dice < 88) {
-      toggleFreeze(id);
+      suspendOrResume(id);
     } else if (dice < 92) {
       platformFault = PLATFORM_FAULTS.get(random.nextInt(PLATFORM_FAULTS.size()));
-      fleet.failPlatform(platformFault);
-      note("platform", platformFault.name());
+      fleet.setPlatformFault(platformFault);
+      logStep("platform", platformFault.name());
     } else if (dice < 95) {
       failEngine();
     } else if (mix == FaultMix.WITH_DEATHS) {
@@ -173,20 +174,20 @@
     }
   }
 
-  private void toggleCut(String domain, String other) {
+  private void partition(String domain, String other) {
     if (!domain.equals(other)) {
-      fleet.network().cut(domain, other);
-      note("cut", domain + " " + other);
+      fleet.network().partition(domain, other);
+      logStep("cut", domain + " " + other);
     }
   }
 
-  private void toggleFreeze(String id) {
+  private void suspendOrResume(String id) {
     if (random.nextBoolean()) {
-      fleet.node(id).freeze();
-      note("freeze", id);
+      fleet.node(id).suspend();
+      logStep("freeze", id);
     } else {
-      fleet.node(id).thaw();
-      note("thaw", id);
+      fleet.node(id).resume();
+      logStep("thaw", id);
     }
   }
 
@@ -197,53 +198,54 @@
     } else {
       fleet.upstream(name).restart();
     }
-    note("engine", name);
+    logStep("engine", name);
   }
 
   private void replace(String id) {
     fleet.node(id).kill();
     fleet.advanceMs(random.nextInt(2_000));
     fleet.start(id, domainOf(id));
-    note("replace", id);
+    logStep("replace", id);
   }
 
   private void call() {
-    boolean sole = random.nextInt(4) == 0;
+    boolean nonIdempotent = random.nextInt(4) == 0;
     switch (random.nextInt(4)) {
-      case 0 -> callOnce(sole, Optional.empty(), "call once-" + callCount);
-      case 1 -> repeatMinted();
+      case 0 -> sendCall(nonIdempotent, Optional.empty(), "call once-" + callCount);
+      case 1 -> repeatUnderGeneratedKey();
       default -> {
-        String key = (sole ? "ticket-" : "key-") + random.nextInt(KEYS);
-        callOnce(sole, Optional.of(key), "call " + key);
+        String key = (nonIdempotent ? "ticket-" : "key-") + random.nextInt(KEYS);
+        sendCall(nonIdempotent, Optional.of(key), "call " + key);
       }
     }
   }
 
   /** Repeats a call that was sent without a key, under the key generated for it. */
-  private void repeatMinted() {
-    List<Made> told =
-        made.stream().filter(call -> call.key().isEmpty() && !call.isUnknown()).toList();
-    if (!told.isEmpty()) {
-      Made first = told.get(random.nextInt(told.size()));
-      callOnce(first.sole(), Optional.of(first.caller().key()), first.body());
+  private void repeatUnderGeneratedKey() {
+    List<SentCall> candidates =
+        sentCalls.stream().filter(call -> call.key().isEmpty() && !call.isKeyUnknown()).toList();
+    if (!candidates.isEmpty()) {
+      SentCall first = candidates.get(random.nextInt(candidates.size()));
+      sendCall(first.nonIdempotent(), Optional.of(first.caller().key()), first.body());
     }
   }
 
-  private void callOnce(boolean sole, Optional<String> key, String body) {
+  private void sendCall(boolean nonIdempotent, Optional<String> key, String body) {
     String id = IDS.get(random.nextInt(IDS.size()));
-    made.add(new Made(key, body, sole, fleet.call(id, request(key, body, sole))));
+    sentCalls.add(
+        new SentCall(key, body, nonIdempotent, fleet.call(id, request(key, body, nonIdempotent))));
     callCount++;
-    note("call", id + " " + body);
+    logStep("call", id + " " + body);
   }
 
-  private static CallRequest request(Optional<String> key, String body, boolean sole) {
+  private static CallRequest request(Optional<String> key, String body, boolean nonIdempotent) {
     return new CallRequest(
         "team." + SECRET,
-        sole ? ServiceType.PLAIN : ServiceType.MODEL,
-        sole ? "sira" : "asistan",
+        nonIdempotent ? ServiceType.PLAIN : ServiceType.MODEL,
+        nonIdempotent ? "sira" : "asistan",
         key,
         Optional.empty(),
-        sole,
+        nonIdempotent,
         Optional.empty(),
         10,
         OptionalLong.of(40),
@@ -257,68 +259,69 @@
         new byte[0]);
   }
 
-  private void note(String what, String detail) {
+  private void logStep(String what, String detail) {
     log.add(fleet.timers().nowMs() + "ms " + what + " " + detail);
   }
 
   private void healAll() {
     fleet.network().healAll();
-    fleet.failPlatform(Fault.NONE);
+    fleet.setPlatformFault(Fault.NONE);
     ENGINES.forEach(name -> fleet.upstream(name).restart());
-    fleet.nodes().forEach(node -> node.thaw());
-    fleet.advanceMs(HEAL_MS);
+    fleet.nodes().forEach(node -> node.resume());
+    fleet.advanceMs(RECOVERY_MS);
   }
 
   private List<String> check() {
-    List<String> broken = new ArrayList<>(fleet.audit().findings());
-    made.forEach(call -> checkAnswer(call, broken));
-    checkRuns(broken);
+    List<String> violations = new ArrayList<>(fleet.audit().findings());
+    sentCalls.forEach(call -> checkAnswer(call, violations));
+    checkRuns(violations);
     if (mix == FaultMix.WITHOUT_DEATHS) {
-      checkEveryoneBilled(broken);
+      checkServedCallsBilled(violations);
     }
-    return broken;
+    return violations;
   }
 
-  private static void checkAnswer(Made call, List<String> broken) {
+  private static void checkAnswer(SentCall call, List<String> violations) {
     String state = call.caller().state();
     if (state.equals("served") && !call.caller().body().equals("answer to " + call.body())) {
-      broken.add("a caller of " + call.body() + " got another answer: " + call.caller().body());
+      violations.add("a caller of " + call.body() + " got another answer: " + call.caller().body());
     }
     if (state.equals("waiting")) {
-      broken.add("a caller of " + call.body() + " still waits");
+      violations.add("a caller of " + call.body() + " still waits");
     }
   }
 
-  private void checkRuns(List<String> broken) {
-    Map<String, List<Made>> byBody = new LinkedHashMap<>();
-    made.forEach(call -> byBody.computeIfAbsent(call.body(), body -> new ArrayList<>()).add(call));
+  private void checkRuns(List<String> violations) {
+    Map<String, List<SentCall>> byBody = new LinkedHashMap<>();
+    sentCalls.forEach(
+        call -> byBody.computeIfAbsent(call.body(), body -> new ArrayList<>()).add(call));
     byBody.forEach(
         (body, calls) -> {
           long runs = fleet.upstreams().stream().mapToLong(upstream -> upstream.runsOf(body)).sum();
-          if (calls.get(0).sole() && runs > 1) {
-            broken.add(body + " may run once, but ran " + runs + " times");
+          if (calls.get(0).nonIdempotent() && runs > 1) {
+            violations.add(body + " may run once, but ran " + runs + " times");
           }
-          if (runs > 0 && calls.stream().allMatch(Exploration::saidNotRun)) {
-            broken.add(body + " ran, though all its callers were told that it did not");
+          if (runs > 0 && calls.stream().allMatch(Exploration::reportedNotRun)) {
+            violations.add(body + " ran, though all its callers were told that it did not");
           }
         });
   }
 
-  private static boolean saidNotRun(Made call) {
+  private static boolean reportedNotRun(SentCall call) {
     return call.caller().refusal().filter(refusal -> refusal.notRun() == NotRun.TRUE).isPresent();
   }
 
-  private void checkEveryoneBilled(List<String> broken) {
+  private void checkServedCallsBilled(List<String> violations) {
     Set<String> billed = fleet.audit().billedKeys();
-    made.stream()
+    sentCalls.stream()
         .filter(call -> call.caller().state().equals("served"))
-        .map(Made::billedKey)
+        .map(SentCall::billedKey)
         .distinct()
         .filter(key -> !billed.contains(key))
-        .forEach(key -> broken.add(key + " was served, but not billed; " + openBills()));
+        .forEach(key -> violations.add(key + " was served, but not billed; " + pendingBills()));
   }
 
-  private String openBills() {
+  private String pendingBills() {
     return fleet.nodes().stream()
         .map(
             node ->
@@ -345,6 +348,6 @@
    * @return the number of calls with a complete answer
    */
   public long servedCount() {
-    return made.stream().filter(call -> call.caller().state().equals("served")).count();
+    return sentCalls.stream().filter(call -> call.caller().state().equals("served")).count();
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/explore/ExploreCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/explore/ExploreCommand.java
@@ -28,24 +28,29 @@
 
   @Override
   public int run() {
-    List<Long> broken =
-        LongStream.range(from, from + count).parallel().filter(this::breaks).boxed().toList();
-    System.out.println((count - broken.size()) + " passed, " + broken.size() + " failed");
-    return broken.isEmpty() ? OK : FAILED;
+    List<Long> failedSeeds =
+        LongStream.range(from, from + count)
+            .parallel()
+            .filter(this::hasViolations)
+            .boxed()
+            .toList();
+    System.out.println((count - failedSeeds.size()) + " passed, " + failedSeeds.size() + " failed");
+    return failedSeeds.isEmpty() ? OK : FAILED;
   }
 
-  private boolean breaks(long seed) {
+  private boolean hasViolations(long seed) {
     Exploration exploration = new Exploration(seed, mix);
-    List<String> found = exploration.run(steps);
-    if (!found.isEmpty()) {
+    List<String> violations = exploration.run(steps);
+    if (!violations.isEmpty()) {
       synchronized (this) {
-        System.out.println("seed " + seed + ": " + found.size() + " broken, first " + found.get(0));
+        System.out.println(
+            "seed " + seed + ": " + violations.size() + " broken, first " + violations.get(0));
         if (printLog) {
           exploration.log().forEach(System.out::println);
-          found.forEach(System.out::println);
+          violations.forEach(System.out::println);
         }
       }
     }
-    return !found.isEmpty();
+    return !violations.isEmpty();
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
@@ -40,21 +40,21 @@
  * <pre>{@code
  * Fleet fleet = new Fleet(NodeSettings.standard(), 42);
  * fleet.start("konya-1", "konya");
- * fleet.network().cut("konya", Network.PLATFORM);
+ * fleet.network().partition("konya", Network.PLATFORM);
  * fleet.advanceMs(3_600_000);
  * }</pre>
  */
 public final class Fleet {
 
-  private static final long LIST_LAG_MS = 10_000;
-  private static final long REPORT_MS = 1;
+  private static final long INSTANCE_EXPIRY_MS = 10_000;
+  private static final long CRASH_MESSAGE_LATENCY_MS = 1;
 
   private final NodeSettings settings;
   private final Random random;
   private Fault platformFault = Fault.NONE;
   private final ManualTimers timers = new ManualTimers();
   private final FakeTable table = new FakeTable(timers);
-  private final FakeInstanceList instances = new FakeInstanceList(timers, LIST_LAG_MS);
+  private final FakeInstanceList instances = new FakeInstanceList(timers, INSTANCE_EXPIRY_MS);
   private final Network network = new Network();
   private final MemoryLinks links = new MemoryLinks(timers, network);
   private final Map<String, FleetNode> nodes = new TreeMap<>();
@@ -79,58 +79,60 @@
    * @return the node
    */
   public FleetNode start(String id, String domain) {
-    Random own = new Random(random.nextLong());
+    Random nodeRandom = new Random(random.nextLong());
     InstanceRecord record =
-        new InstanceRecord(id, id + "." + Node.newId(own), domain, id, 1, false);
-    Network.Place place = Network.Place.of(id, domain);
+        new InstanceRecord(id, id + "." + Node.newId(nodeRandom), domain, id, 1, false);
+    Network.Location location = Network.Location.of(id, domain);
     NodeClock clock = new NodeClock(timers);
-    FaultInjector way = new FaultInjector(clock);
-    way.setFault(platformFault);
+    FaultInjector platformFaults = new FaultInjector(clock);
+    platformFaults.setFault(platformFault);
     PeerDispatcher dispatcher = new PeerDispatcher();
-    links.join(id, place, clock, dispatcher);
-    PlatformWay platform = new PlatformWay(network, place, way);
+    links.register(id, location, clock, dispatcher);
+    PlatformAccess platform = new PlatformAccess(network, location, platformFaults);
     NodePorts ports =
         new NodePorts(
-            platform.table(table, way),
+            platform.table(table, platformFaults),
             platform.list(instances),
-            links.of(place, clock),
+            links.linksFrom(location, clock),
             dispatcher,
-            upstreamsOf(place, clock),
-            upstream -> endOf(place, upstream),
-            (message, to) -> to.forEach(peer -> report(record, message, peer)),
+            upstreamClient(location, clock),
+            upstream -> probeEnd(location, upstream),
+            (message, to) -> to.forEach(peer -> deliverCrashMessage(record, message, peer)),
             new JsonResources(),
             clock,
-            own);
+            nodeRandom);
     FleetNode node =
-        new FleetNode(record, new Node(record, ports, settings, new MetricRegistry()), clock, way);
+        new FleetNode(
+            record, new Node(record, ports, settings, new MetricRegistry()), clock, platformFaults);
     nodes.put(id, node);
     return node;
   }
 
-  private UpstreamClient upstreamsOf(Network.Place place, NodeClock clock) {
+  private UpstreamClient upstreamClient(Network.Location location, NodeClock clock) {
     return (call, listener) -> {
       MemoryUpstream target = upstream(call.target().host());
-      Network.Place at = Network.Place.of(call.target().host(), call.target().domain());
-      return network.reaches(place, at)
+      Network.Location upstreamLocation =
+          Network.Location.of(call.target().host(), call.target().domain());
+      return network.reaches(location, upstreamLocation)
           ? target.start(call, listener, clock)
           : MemoryUpstream.unreachable(call, listener, clock);
     };
   }
 
   /** The end of an upstream beyond a network partition is not detected. */
-  private CompletableFuture<Boolean> endOf(Network.Place from, RegisteredUpstream upstream) {
-    Network.Place at = Network.Place.of(upstream.host(), upstream.domain());
+  private CompletableFuture<Boolean> probeEnd(Network.Location from, RegisteredUpstream upstream) {
+    Network.Location upstreamLocation = Network.Location.of(upstream.host(), upstream.domain());
     return CompletableFuture.completedFuture(
-        network.reaches(from, at) && upstream(upstream.host()).isDown());
+        network.reaches(from, upstreamLocation) && upstream(upstream.host()).isDown());
   }
 
   /** Delivers a crash message, which is neither acknowledged nor retransmitted. */
-  private void report(InstanceRecord from, CrashMessage message, InstanceRecord to) {
+  private void deliverCrashMessage(InstanceRecord from, CrashMessage message, InstanceRecord to) {
     FleetNode target = nodes.get(to.id());
-    Network.Place place = Network.Place.of(from.id(), from.domain());
-    if (target != null && network.reaches(place, target.place())) {
+    Network.Location location = Network.Location.of(from.id(), from.domain());
+    if (target != null && network.reaches(location, target.location())) {
       timers.after(
-          REPORT_MS,
+          CRASH_MESSAGE_LATENCY_MS,
           () -> target.clock().run(() -> target.node().crashes().onMessage(message, from)));
     }
   }
@@ -235,7 +237,7 @@
    * @return true when no partition separates them
    */
   public boolean reaches(FleetNode from, FleetNode to) {
-    return network.reaches(from.place(), to.place());
+    return network.reaches(from.location(), to.location());
   }
 
   /**
@@ -245,7 +247,7 @@
    * @return true when no partition separates them
    */
   public boolean reachesPlatform(FleetNode from) {
-    return network.reaches(from.place(), Network.Place.of(Network.PLATFORM));
+    return network.reaches(from.location(), Network.Location.of(Network.PLATFORM));
   }
 
   /**
@@ -254,7 +256,7 @@
    * @param key the key of the row
    * @return the row
    */
-  public Row readNow(RowKey key) {
+  public Row readBypassingFaults(RowKey key) {
     return table.withFaults(new FaultInjector(timers)).read(List.of(key)).join().get(0);
   }
 
@@ -272,11 +274,11 @@
    *
    * @param fault the fault; {@link Fault#NONE} ends an outage
    */
-  public void failPlatform(Fault fault) {
+  public void setPlatformFault(Fault fault) {
     platformFault = fault;
     table.faults().setFault(fault);
     instances.faults().setFault(fault);
-    nodes.values().forEach(node -> node.platformWay().setFault(fault));
+    nodes.values().forEach(node -> node.platformFaults().setFault(fault));
   }
 
   /**
@@ -307,18 +309,19 @@
   }
 
   /** The access of one node to the platform. */
-  private record PlatformWay(Network network, Network.Place place, FaultInjector way) {
+  private record PlatformAccess(
+      Network network, Network.Location location, FaultInjector platformFaults) {
 
-    private boolean isOpen() {
-      return network.reaches(place, Network.Place.of(Network.PLATFORM));
+    private boolean isReachable() {
+      return network.reaches(location, Network.Location.of(Network.PLATFORM));
     }
 
     TableService table(FakeTable table, FaultInjector faults) {
-      return new CutTable(table.withFaults(faults), this::isOpen);
+      return new PartitionedTable(table.withFaults(faults), this::isReachable);
     }
 
     InstanceList list(FakeInstanceList instances) {
-      return new CutInstanceList(instances, this::isOpen);
+      return new PartitionedInstanceList(instances, this::isReachable);
     }
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
@@ -10,13 +10,13 @@
   private final InstanceRecord record;
   private final Node node;
   private final NodeClock clock;
-  private final FaultInjector platformWay;
+  private final FaultInjector platformFaults;
 
-  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultInjector platformWay) {
+  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultInjector platformFaults) {
     this.record = record;
     this.node = node;
     this.clock = clock;
-    this.platformWay = platformWay;
+    this.platformFaults = platformFaults;
   }
 
   /**
@@ -42,8 +42,8 @@
    *
    * @return the faults
    */
-  public FaultInjector platformWay() {
-    return platformWay;
+  public FaultInjector platformFaults() {
+    return platformFaults;
   }
 
   /** Kills the process. */
@@ -52,13 +52,13 @@
   }
 
   /** Suspends the process, as SIGSTOP does. */
-  public void freeze() {
-    clock.freeze();
+  public void suspend() {
+    clock.suspend();
   }
 
   /** Resumes the process. */
-  public void thaw() {
-    clock.thaw();
+  public void resume() {
+    clock.resume();
   }
 
   /**
@@ -66,12 +66,12 @@
    *
    * @return true after {@link #kill}
    */
-  public boolean isDead() {
-    return clock.isDead();
+  public boolean isKilled() {
+    return clock.isKilled();
   }
 
-  Network.Place place() {
-    return Network.Place.of(record.id(), record.domain());
+  Network.Location location() {
+    return Network.Location.of(record.id(), record.domain());
   }
 
   NodeClock clock() {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryCaller.java
@@ -54,8 +54,8 @@
   }
 
   @Override
-  public void refuse(Refusal said) {
-    refusal = Optional.of(said);
+  public void refuse(Refusal newRefusal) {
+    refusal = Optional.of(newRefusal);
   }
 
   /**
@@ -109,6 +109,6 @@
     if (aborted) {
       return "aborted";
     }
-    return clock.isDead() ? "lost" : "waiting";
+    return clock.isKilled() ? "lost" : "waiting";
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryLinks.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryLinks.java
@@ -25,10 +25,10 @@
     this.network = network;
   }
 
-  private record Endpoint(Network.Place place, NodeClock clock, PeerDispatcher dispatcher) {}
+  private record Endpoint(Network.Location location, NodeClock clock, PeerDispatcher dispatcher) {}
 
-  void join(String id, Network.Place place, NodeClock clock, PeerDispatcher dispatcher) {
-    endpoints.put(id, new Endpoint(place, clock, dispatcher));
+  void register(String id, Network.Location location, NodeClock clock, PeerDispatcher dispatcher) {
+    endpoints.put(id, new Endpoint(location, clock, dispatcher));
   }
 
   long sentCount() {
@@ -36,12 +36,12 @@
   }
 
   /** Returns the links from one node to its peers. */
-  PeerLinks of(Network.Place from, NodeClock clock) {
-    return (peer, request, timeoutMs) -> ask(from, clock, peer, request, timeoutMs);
+  PeerLinks linksFrom(Network.Location from, NodeClock clock) {
+    return (peer, request, timeoutMs) -> send(from, clock, peer, request, timeoutMs);
   }
 
-  private CompletableFuture<PeerMessage> ask(
-      Network.Place from,
+  private CompletableFuture<PeerMessage> send(
+      Network.Location from,
       NodeClock clock,
       InstanceRecord peer,
       PeerMessage request,
@@ -51,18 +51,18 @@
     clock.after(
         timeoutMs, () -> reply.completeExceptionally(PeerException.noReply(peer.id(), "timeout")));
     Endpoint to = endpoints.get(peer.id());
-    if (to != null && to.clock().isDead() && network.reaches(from, to.place())) {
+    if (to != null && to.clock().isKilled() && network.reaches(from, to.location())) {
       clock.after(
           ONE_WAY_MS,
           () -> reply.completeExceptionally(PeerException.connectionRefused(peer.id())));
-    } else if (to != null && network.reaches(from, to.place())) {
+    } else if (to != null && network.reaches(from, to.location())) {
       timers.after(ONE_WAY_MS, () -> to.clock().run(() -> serve(from, clock, to, request, reply)));
     }
     return reply;
   }
 
   private void serve(
-      Network.Place from,
+      Network.Location from,
       NodeClock clock,
       Endpoint to,
       PeerMessage request,
@@ -72,7 +72,7 @@
             .dispatch(request)
             .thenAccept(
                 message -> {
-                  if (network.reaches(to.place(), from)) {
+                  if (network.reaches(to.location(), from)) {
                     timers.after(ONE_WAY_MS, () -> clock.run(() -> reply.complete(message)));
                   }
                 });
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
@@ -19,22 +19,22 @@
   private static final int STEPS = 4;
 
   /** The time after which a crashed upstream restarts. */
-  private static final long BACK_MS = 3_000;
+  private static final long RESTART_MS = 3_000;
 
   private final Map<String, Integer> runsByBody = new HashMap<>();
   private final List<Run> running = new ArrayList<>();
   private long workMs = 200;
   private boolean down;
-  private boolean silent;
+  private boolean unresponsive;
   private boolean leaving;
-  private Optional<String> deadlyBody = Optional.empty();
+  private Optional<String> crashingBody = Optional.empty();
 
   /**
    * Sets the duration of a call.
    *
    * @param newWorkMs the time from the start of the call to the end of the answer, in milliseconds
    */
-  public void work(long newWorkMs) {
+  public void setWorkMs(long newWorkMs) {
     workMs = newWorkMs;
   }
 
@@ -50,8 +50,8 @@
    *
    * @param body the body
    */
-  public void endUnder(String body) {
-    deadlyBody = Optional.of(body);
+  public void crashOn(String body) {
+    crashingBody = Optional.of(body);
   }
 
   /**
@@ -66,16 +66,16 @@
   /** Restarts the upstream after a crash and makes it respond again. */
   public void restart() {
     down = false;
-    silent = false;
+    unresponsive = false;
   }
 
   /** Stops responding: calls are run, but no answer is sent. */
-  public void fallSilent() {
-    silent = true;
+  public void stopResponding() {
+    unresponsive = true;
   }
 
   /** Announces that it is leaving and refuses new calls as not run. */
-  public void leave() {
+  public void startLeaving() {
     leaving = true;
   }
 
@@ -101,14 +101,14 @@
   UpstreamExchange start(UpstreamCall call, UpstreamListener listener, NodeClock clock) {
     Run run = new Run(call, listener, clock);
     if (down) {
-      run.later(() -> run.fail(Kind.NOT_SENT, "connection refused"), 1);
+      run.schedule(() -> run.fail(Kind.NOT_SENT, "connection refused"), 1);
     } else if (leaving) {
-      run.later(() -> run.fail(Kind.LEAVING, "leaving"), 1);
+      run.schedule(() -> run.fail(Kind.LEAVING, "leaving"), 1);
     } else {
       String body = new String(call.body().forUpstream(0), StandardCharsets.UTF_8);
       runsByBody.merge(body, 1, Integer::sum);
       running.add(run);
-      run.begin(body);
+      run.respond(body);
     }
     return run;
   }
@@ -116,16 +116,16 @@
   /** Fails a call to an upstream that the network does not reach. */
   static UpstreamExchange unreachable(
       UpstreamCall call, UpstreamListener listener, NodeClock clock) {
-    MemoryUpstream nowhere = new MemoryUpstream();
-    nowhere.down = true;
-    return nowhere.start(call, listener, clock);
+    MemoryUpstream downUpstream = new MemoryUpstream();
+    downUpstream.down = true;
+    return downUpstream.start(call, listener, clock);
   }
 
   private final class Run implements UpstreamExchange {
     private final UpstreamCall call;
     private final UpstreamListener listener;
     private final NodeClock clock;
-    private boolean over;
+    private boolean finished;
 
     Run(UpstreamCall call, UpstreamListener listener, NodeClock clock) {
       this.call = call;
@@ -133,47 +133,47 @@
       this.clock = clock;
     }
 
-    void later(Runnable step, long delayMs) {
+    void schedule(Runnable step, long delayMs) {
       clock.after(
           delayMs,
           () -> {
-            if (!over) {
+            if (!finished) {
               step.run();
             }
           });
     }
 
-    void begin(String body) {
-      if (deadlyBody.filter(body::equals).isPresent()) {
+    void respond(String body) {
+      if (crashingBody.filter(body::equals).isPresent()) {
         clock.after(workMs / STEPS, MemoryUpstream.this::kill);
-        clock.after(BACK_MS, MemoryUpstream.this::restart);
+        clock.after(RESTART_MS, MemoryUpstream.this::restart);
         return;
       }
-      later(() -> fail(Kind.BROKEN, "silent"), workMs + call.stallMs());
-      if (silent) {
+      schedule(() -> fail(Kind.BROKEN, "silent"), workMs + call.stallMs());
+      if (unresponsive) {
         return;
       }
       byte[] answer = ("answer to " + body).getBytes(StandardCharsets.UTF_8);
-      long tokens = Math.min(call.maxOutputTokens(), wantedTokens(body));
-      later(() -> listener.onHead(200, "text/plain"), workMs / STEPS);
-      later(() -> piece(answer, new Usage(10, tokens / 2)), workMs / 2);
-      later(() -> piece(new byte[0], new Usage(10, tokens)), workMs - 1);
-      later(this::end, workMs);
+      long tokens = Math.min(call.maxOutputTokens(), answerTokens(body));
+      schedule(() -> listener.onHead(200, "text/plain"), workMs / STEPS);
+      schedule(() -> emitChunk(answer, new Usage(10, tokens / 2)), workMs / 2);
+      schedule(() -> emitChunk(new byte[0], new Usage(10, tokens)), workMs - 1);
+      schedule(this::complete, workMs);
     }
 
-    private void piece(byte[] bytes, Usage usage) {
+    private void emitChunk(byte[] bytes, Usage usage) {
       listener.onChunk(bytes, usage);
     }
 
-    private void end() {
-      over = true;
+    private void complete() {
+      finished = true;
       running.remove(this);
       listener.onEnd();
     }
 
     void fail(Kind kind, String detail) {
-      if (!over) {
-        over = true;
+      if (!finished) {
+        finished = true;
         running.remove(this);
         clock.run(() -> listener.onFailure(new UpstreamFailure(kind, detail)));
       }
@@ -181,7 +181,7 @@
 
     @Override
     public void cancel() {
-      over = true;
+      finished = true;
       running.remove(this);
     }
 
@@ -192,7 +192,7 @@
   }
 
   /** Returns the length of the answer, which a body may set: {@code ... tokens=40}. */
-  private static long wantedTokens(String body) {
+  private static long answerTokens(String body) {
     int at = body.lastIndexOf("tokens=");
     return at < 0 ? Long.MAX_VALUE : Long.parseLong(body.substring(at + "tokens=".length()));
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Network.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Network.java
@@ -3,15 +3,17 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A simulated network that can be partitioned between instances, failure domains and the platform. */
+/**
+ * A simulated network that can be partitioned between instances, failure domains and the platform.
+ */
 public final class Network {
 
   /** The name of the platform's location. */
   public static final String PLATFORM = "platform";
 
-  private final Set<Cut> cuts = new HashSet<>();
+  private final Set<Partition> partitions = new HashSet<>();
 
-  private record Cut(String one, String other) {}
+  private record Partition(String one, String other) {}
 
   /**
    * Partitions two locations from each other.
@@ -19,9 +21,9 @@
    * @param one an instance, a failure domain or the platform
    * @param other the other location
    */
-  public void cut(String one, String other) {
-    cuts.add(new Cut(one, other));
-    cuts.add(new Cut(other, one));
+  public void partition(String one, String other) {
+    partitions.add(new Partition(one, other));
+    partitions.add(new Partition(other, one));
   }
 
   /**
@@ -31,26 +33,28 @@
    * @param other the other location
    */
   public void heal(String one, String other) {
-    cuts.remove(new Cut(one, other));
-    cuts.remove(new Cut(other, one));
+    partitions.remove(new Partition(one, other));
+    partitions.remove(new Partition(other, one));
   }
 
   /** Removes all partitions. */
   public void healAll() {
-    cuts.clear();
+    partitions.clear();
   }
 
-  boolean reaches(Place from, Place to) {
+  boolean reaches(Location from, Location to) {
     return from.names().stream()
         .noneMatch(
-            one -> to.names().stream().anyMatch(other -> cuts.contains(new Cut(one, other))));
+            one ->
+                to.names().stream()
+                    .anyMatch(other -> partitions.contains(new Partition(one, other))));
   }
 
   /** A location in the network: all names under which a partition can include it. */
-  record Place(Set<String> names) {
+  record Location(Set<String> names) {
 
-    static Place of(String... names) {
-      return new Place(Set.of(names));
+    static Location of(String... names) {
+      return new Location(Set.of(names));
     }
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/NodeClock.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/NodeClock.java
@@ -17,8 +17,8 @@
 
   private final ManualTimers timers;
   private final Deque<Runnable> deferred = new ArrayDeque<>();
-  private boolean frozen;
-  private boolean dead;
+  private boolean suspended;
+  private boolean killed;
 
   NodeClock(ManualTimers timers) {
     this.timers = timers;
@@ -46,10 +46,10 @@
 
   /** Runs a task in the process: immediately, on resume when suspended, or never when killed. */
   void run(Runnable task) {
-    if (dead) {
+    if (killed) {
       return;
     }
-    if (frozen) {
+    if (suspended) {
       deferred.add(task);
     } else {
       task.run();
@@ -57,28 +57,28 @@
   }
 
   private void runPeriodic(Runnable task) {
-    if (!dead && !frozen) {
+    if (!killed && !suspended) {
       task.run();
     }
   }
 
-  void freeze() {
-    frozen = true;
+  void suspend() {
+    suspended = true;
   }
 
-  void thaw() {
-    frozen = false;
-    while (!frozen && !deferred.isEmpty()) {
+  void resume() {
+    suspended = false;
+    while (!suspended && !deferred.isEmpty()) {
       deferred.poll().run();
     }
   }
 
   void kill() {
-    dead = true;
+    killed = true;
     deferred.clear();
   }
 
-  boolean isDead() {
-    return dead;
+  boolean isKilled() {
+    return killed;
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutInstanceList.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/PartitionedInstanceList.java
@@ -7,23 +7,23 @@
 import java.util.function.BooleanSupplier;
 
 /** An instance list that is unreachable while the network is partitioned. */
-final class CutInstanceList implements InstanceList {
+final class PartitionedInstanceList implements InstanceList {
 
   private final InstanceList list;
-  private final BooleanSupplier open;
+  private final BooleanSupplier reachable;
 
-  CutInstanceList(InstanceList list, BooleanSupplier open) {
+  PartitionedInstanceList(InstanceList list, BooleanSupplier reachable) {
     this.list = list;
-    this.open = open;
+    this.reachable = reachable;
   }
 
   @Override
   public CompletableFuture<Void> announce(InstanceRecord instance) {
-    return CutTable.ifOpen(open, () -> list.announce(instance));
+    return PartitionedTable.ifReachable(reachable, () -> list.announce(instance));
   }
 
   @Override
   public CompletableFuture<List<InstanceRecord>> list() {
-    return CutTable.ifOpen(open, list::list);
+    return PartitionedTable.ifReachable(reachable, list::list);
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/CutTable.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/PartitionedTable.java
@@ -11,35 +11,35 @@
 import java.util.function.Supplier;
 
 /** A table that is unreachable while the network is partitioned. */
-final class CutTable implements TableService {
+final class PartitionedTable implements TableService {
 
   private final TableService table;
-  private final BooleanSupplier open;
+  private final BooleanSupplier reachable;
 
-  CutTable(TableService table, BooleanSupplier open) {
+  PartitionedTable(TableService table, BooleanSupplier reachable) {
     this.table = table;
-    this.open = open;
+    this.reachable = reachable;
   }
 
-  static <T> CompletableFuture<T> ifOpen(
-      BooleanSupplier open, Supplier<CompletableFuture<T>> call) {
-    return open.getAsBoolean()
+  static <T> CompletableFuture<T> ifReachable(
+      BooleanSupplier reachable, Supplier<CompletableFuture<T>> call) {
+    return reachable.getAsBoolean()
         ? call.get()
         : CompletableFuture.failedFuture(PlatformException.unreachable("network partition"));
   }
 
   @Override
   public CompletableFuture<List<Row>> read(List<RowKey> keys) {
-    return ifOpen(open, () -> table.read(keys));
+    return ifReachable(reachable, () -> table.read(keys));
   }
 
   @Override
   public CompletableFuture<List<Row>> scan(String name, String prefix, String afterKey, int limit) {
-    return ifOpen(open, () -> table.scan(name, prefix, afterKey, limit));
+    return ifReachable(reachable, () -> table.scan(name, prefix, afterKey, limit));
   }
 
   @Override
   public CompletableFuture<Boolean> write(Transaction transaction) {
-    return ifOpen(open, () -> table.write(transaction));
+    return ifReachable(reachable, () -> table.write(transaction));
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/CheckingCaller.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/CheckingCaller.java
@@ -41,12 +41,12 @@
    *
    * @param to the address of an instance or an engine
    * @param call the call
-   * @param plannedNanos the scheduled start, by {@link System#nanoTime()}, from which latencies are
-   *     measured
+   * @param scheduledNanos the scheduled start, by {@link System#nanoTime()}, from which latencies
+   *     are measured
    * @return the result; never completes exceptionally
    */
-  public CompletableFuture<CallResult> send(Address to, Call call, long plannedNanos) {
-    Sink sink = new Sink(call, plannedNanos);
+  public CompletableFuture<CallResult> send(Address to, Call call, long scheduledNanos) {
+    ResponseSink sink = new ResponseSink(call, scheduledNanos);
     http.send(
         new HttpCall(
             to,
@@ -84,22 +84,22 @@
     return body;
   }
 
-  private static final class Sink implements HttpSink {
+  private static final class ResponseSink implements HttpSink {
     private final Call call;
-    private final long plannedNanos;
+    private final long scheduledNanos;
     private final CompletableFuture<CallResult> result = new CompletableFuture<>();
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private String requestId = "";
     private double firstByteMs;
 
-    Sink(Call call, long plannedNanos) {
+    ResponseSink(Call call, long scheduledNanos) {
       this.call = call;
-      this.plannedNanos = plannedNanos;
+      this.scheduledNanos = scheduledNanos;
     }
 
     private double elapsedMs() {
-      return (System.nanoTime() - plannedNanos) / NANOS_PER_MS;
+      return (System.nanoTime() - scheduledNanos) / NANOS_PER_MS;
     }
 
     @Override
@@ -119,8 +119,8 @@
 
     @Override
     public void onEnd() {
-      AnswerText answer = AnswerText.read(body.toByteArray(), call.streamed());
-      boolean whole = status == 200 && isOwn(answer);
+      ParsedAnswer answer = ParsedAnswer.read(body.toByteArray(), call.streamed());
+      boolean whole = status == 200 && isCompleteAndMatching(answer);
       result.complete(
           new CallResult(
               call,
@@ -128,12 +128,12 @@
               answer.code(),
               requestId,
               whole,
-              answer.usedTokens(),
+              answer.totalTokens(),
               firstByteMs,
               elapsedMs()));
     }
 
-    private boolean isOwn(AnswerText answer) {
+    private boolean isCompleteAndMatching(ParsedAnswer answer) {
       boolean ended = !call.streamed() || answer.done();
       return ended
           && answer.tokens() > 0
@@ -148,21 +148,22 @@
   }
 
   /** The parsed body of an answer. */
-  private record AnswerText(String text, int tokens, long usedTokens, boolean done, String code) {
+  private record ParsedAnswer(
+      String text, int tokens, long totalTokens, boolean done, String code) {
 
-    static AnswerText read(byte[] body, boolean streamed) {
+    static ParsedAnswer read(byte[] body, boolean streamed) {
       String text = new String(body, StandardCharsets.UTF_8);
       try {
         return streamed && text.startsWith("data:") ? readStream(text) : readPlain(body);
       } catch (InvalidInputException ex) {
-        return new AnswerText("", 0, 0, false, "unreadable");
+        return new ParsedAnswer("", 0, 0, false, "unreadable");
       }
     }
 
-    private static AnswerText readPlain(byte[] body) {
+    private static ParsedAnswer readPlain(byte[] body) {
       JsonNode node = Json.read(body);
       JsonNode usage = node.path("usage");
-      return new AnswerText(
+      return new ParsedAnswer(
           node.path("choices").path(0).path("message").path("content").asText(),
           usage.path("completion_tokens").asInt(),
           usage.path("total_tokens").asLong(),
@@ -170,10 +171,10 @@
           node.path("error").path("code").asText());
     }
 
-    private static AnswerText readStream(String text) {
+    private static ParsedAnswer readStream(String text) {
       StringBuilder content = new StringBuilder();
       int tokens = 0;
-      long usedTokens = 0;
+      long totalTokens = 0;
       boolean done = false;
       for (String line : text.split("\n", -1)) {
         if (line.equals("data: [DONE]")) {
@@ -182,10 +183,10 @@
           JsonNode event = Json.read(line.substring("data: ".length()));
           content.append(event.path("choices").path(0).path("delta").path("content").asText());
           tokens = event.path("usage").path("completion_tokens").asInt(tokens);
-          usedTokens = event.path("usage").path("total_tokens").asLong(usedTokens);
+          totalTokens = event.path("usage").path("total_tokens").asLong(totalTokens);
         }
       }
-      return new AnswerText(content.toString(), tokens, usedTokens, done, "");
+      return new ParsedAnswer(content.toString(), tokens, totalTokens, done, "");
     }
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/LoadCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/LoadCommand.java
@@ -15,7 +15,10 @@
 import java.util.stream.Collectors;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab load}: sends calls on a fixed schedule, checks the answers and prints the latencies. */
+/**
+ * {@code mothrill lab load}: sends calls on a fixed schedule, checks the answers and prints the
+ * latencies.
+ */
 public final class LoadCommand implements Command {
 
   @Option(
@@ -53,9 +56,9 @@
     AtomicInteger next = new AtomicInteger();
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(NioIoHandler.newFactory());
     try {
-      Schedule schedule = new Schedule(new CheckingCaller(new HttpClient(group)));
+      OpenLoopSender sender = new OpenLoopSender(new CheckingCaller(new HttpClient(group)));
       List<CallResult> results =
-          schedule.run(
+          sender.run(
               this::call, count, rate, () -> targets.get(next.getAndIncrement() % targets.size()));
       return report(results);
     } finally {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/Schedule.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/OpenLoopSender.java
@@ -14,7 +14,7 @@
  * <p>Latencies are measured from the scheduled start of a call, so that a stalled server cannot
  * hide its queueing delay by slowing down the caller (coordinated omission).
  */
-public final class Schedule {
+public final class OpenLoopSender {
 
   private final CheckingCaller caller;
 
@@ -23,7 +23,7 @@
    *
    * @param caller the caller that sends the calls
    */
-  public Schedule(CheckingCaller caller) {
+  public OpenLoopSender(CheckingCaller caller) {
     this.caller = caller;
   }
 
@@ -53,12 +53,12 @@
   public List<CompletableFuture<CallResult>> start(
       IntFunction<Call> calls, int count, double perSecond, Supplier<Address> targets) {
     long startNanos = System.nanoTime();
-    double gapNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
+    double intervalNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
     List<CompletableFuture<CallResult>> results = new ArrayList<>(count);
     for (int number = 0; number < count; number++) {
-      long dueNanos = startNanos + (long) (number * gapNanos);
-      sleepUntil(dueNanos);
-      results.add(caller.send(targets.get(), calls.apply(number), dueNanos));
+      long scheduledNanos = startNanos + (long) (number * intervalNanos);
+      sleepUntil(scheduledNanos);
+      results.add(caller.send(targets.get(), calls.apply(number), scheduledNanos));
     }
     return results;
   }
@@ -73,11 +73,11 @@
     return results.stream().map(CompletableFuture::join).toList();
   }
 
-  private static void sleepUntil(long dueNanos) {
-    long leftNanos = dueNanos - System.nanoTime();
-    if (leftNanos > 0) {
+  private static void sleepUntil(long scheduledNanos) {
+    long remainingNanos = scheduledNanos - System.nanoTime();
+    if (remainingNanos > 0) {
       try {
-        TimeUnit.NANOSECONDS.sleep(leftNanos);
+        TimeUnit.NANOSECONDS.sleep(remainingNanos);
       } catch (InterruptedException ex) {
         Thread.currentThread().interrupt();
       }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Actions.java
@@ -50,16 +50,16 @@
     actions.put("start", (run, step) -> run.fleet().start(step.word(0), step.word(1)));
     actions.put("settle", (run, step) -> run.fleet().advanceMs(SETTLE_MS));
     actions.put("kill", (run, step) -> run.fleet().node(step.word(0)).kill());
-    actions.put("freeze", (run, step) -> run.fleet().node(step.word(0)).freeze());
-    actions.put("thaw", (run, step) -> run.fleet().node(step.word(0)).thaw());
+    actions.put("freeze", (run, step) -> run.fleet().node(step.word(0)).suspend());
+    actions.put("thaw", (run, step) -> run.fleet().node(step.word(0)).resume());
     actions.put("drain", (run, step) -> run.fleet().node(step.word(0)).node().drain());
   }
 
   private static void addFailures(Map<String, StepAction> actions) {
-    actions.put("cut", (run, step) -> run.fleet().network().cut(step.word(0), step.word(1)));
+    actions.put("cut", (run, step) -> run.fleet().network().partition(step.word(0), step.word(1)));
     actions.put("heal", Actions::heal);
-    actions.put("platform", (run, step) -> run.fleet().failPlatform(fault(step, step.word(0))));
-    actions.put("way", Actions::failWay);
+    actions.put("platform", (run, step) -> run.fleet().setPlatformFault(fault(step, step.word(0))));
+    actions.put("way", Actions::failPlatformAccess);
     actions.put("engine", Actions::failEngine);
   }
 
@@ -83,12 +83,12 @@
   }
 
   private static void declareService(ScenarioRun run, Step step) {
-    boolean plain = step.has("plain");
+    boolean plain = step.hasWord("plain");
     ServiceSpec spec =
         new ServiceSpec(
             plain ? ServiceType.PLAIN : ServiceType.MODEL,
             Priority.URGENT,
-            !step.has("unrepeatable"),
+            !step.hasWord("unrepeatable"),
             step.number("cap", 1_000),
             step.number("cost", 1),
             step.durationMs("timeout", 60_000));
@@ -104,10 +104,10 @@
             1,
             step.option("domain"),
             (int) step.number("slots", 64),
-            step.has("leaving"));
+            step.hasWord("leaving"));
     run.fleet().declare(name, spec);
     MemoryUpstream upstream = run.fleet().upstream(name);
-    upstream.work(step.durationMs("work", 200));
+    upstream.setWorkMs(step.durationMs("work", 200));
   }
 
   private static void heal(ScenarioRun run, Step step) {
@@ -123,12 +123,12 @@
       case "up" -> Fault.NONE;
       case "down" -> Fault.DOWN;
       case "answers-lost" -> Fault.ANSWER_LOST;
-      default -> throw step.wrong("knows up, down and answers-lost");
+      default -> throw step.invalid("knows up, down and answers-lost");
     };
   }
 
-  private static void failWay(ScenarioRun run, Step step) {
-    run.fleet().node(step.word(0)).platformWay().setFault(fault(step, step.word(1)));
+  private static void failPlatformAccess(ScenarioRun run, Step step) {
+    run.fleet().node(step.word(0)).platformFaults().setFault(fault(step, step.word(1)));
   }
 
   private static void failEngine(ScenarioRun run, Step step) {
@@ -136,17 +136,17 @@
     switch (step.word(1)) {
       case "kill" -> upstream.kill();
       case "restart" -> upstream.restart();
-      case "silent" -> upstream.fallSilent();
-      case "leave" -> upstream.leave();
-      default -> throw step.wrong("knows kill, restart, silent and leave");
+      case "silent" -> upstream.stopResponding();
+      case "leave" -> upstream.startLeaving();
+      default -> throw step.invalid("knows kill, restart, silent and leave");
     }
   }
 
   private static void call(ScenarioRun run, Step step) {
-    make(run, step, step.word(0), step.option("name"));
+    sendCall(run, step, step.word(0), step.option("name"));
   }
 
-  private static void make(ScenarioRun run, Step step, String instance, String name) {
+  private static void sendCall(ScenarioRun run, Step step, String instance, String name) {
     CallRequest request = Calls.request(step, name);
     run.calls().add(name, Calls.bodyOf(step, name), run.fleet().call(instance, request));
   }
@@ -159,8 +159,8 @@
     long count = step.durationMs("for", 60_000) / everyMs;
     for (int number = 0; number < count; number++) {
       String instance = instances.get(number % instances.size());
-      if (!fleet.node(instance).isDead()) {
-        make(run, step, instance, step.option("name") + "." + number);
+      if (!fleet.node(instance).isKilled()) {
+        sendCall(run, step, instance, step.option("name") + "." + number);
       }
       fleet.advanceMs(everyMs);
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
@@ -16,23 +16,23 @@
 
   static final String SECRET = "secret";
 
-  private final Map<String, Made> made = new LinkedHashMap<>();
+  private final Map<String, SentCall> sentCalls = new LinkedHashMap<>();
 
   /** A call that was sent. */
-  record Made(String body, MemoryCaller caller) {}
+  record SentCall(String body, MemoryCaller caller) {}
 
   /** Creates the request of a step; calls with the same key have the same body. */
   static CallRequest request(Step step, String name) {
     String key = keyOf(step, name);
     String body = bodyOf(step, name);
-    boolean plain = step.has("plain");
+    boolean plain = step.hasWord("plain");
     return new CallRequest(
         step.option("team", "team") + "." + SECRET,
         plain ? ServiceType.PLAIN : ServiceType.MODEL,
         step.option("service"),
         key.isEmpty() ? Optional.empty() : Optional.of(key),
-        step.has("batch") ? Optional.of(Priority.BATCH) : Optional.empty(),
-        step.has("unrepeatable"),
+        step.hasWord("batch") ? Optional.of(Priority.BATCH) : Optional.empty(),
+        step.hasWord("unrepeatable"),
         Optional.ofNullable(step.options().get("budget")),
         step.number("prompt", 10),
         OptionalLong.of(step.number("cap", 90)),
@@ -48,7 +48,7 @@
 
   /** Returns the idempotency key; each call of a {@code keyed} load has its own. */
   private static String keyOf(Step step, String name) {
-    return step.option("key", step.has("keyed") ? name : "");
+    return step.option("key", step.hasWord("keyed") ? name : "");
   }
 
   static String bodyOf(Step step, String name) {
@@ -57,17 +57,17 @@
   }
 
   void add(String name, String body, MemoryCaller caller) {
-    made.put(name, new Made(body, caller));
+    sentCalls.put(name, new SentCall(body, caller));
   }
 
-  Made find(Step step, String name) {
-    return Optional.ofNullable(made.get(name))
-        .orElseThrow(() -> step.wrong("there was no call named " + name));
+  SentCall find(Step step, String name) {
+    return Optional.ofNullable(sentCalls.get(name))
+        .orElseThrow(() -> step.invalid("there was no call named " + name));
   }
 
   /** Returns the calls of a load: those whose names start with the load's name and a dot. */
-  List<Made> ofLoad(String load) {
-    return made.entrySet().stream()
+  List<SentCall> ofLoad(String load) {
+    return sentCalls.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(load + "."))
         .map(Map.Entry::getValue)
         .toList();
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Expectations.java
@@ -34,7 +34,7 @@
       case "held" -> compare(step, heldBy(run, step), 3);
       case "requests" -> compare(step, run.fleet().audit().billedRequestCount(), 1);
       case "revision" -> compare(step, revisionOf(run, step), 2);
-      default -> throw step.wrong("does not know " + step.word(0));
+      default -> throw step.invalid("does not know " + step.word(0));
     }
   }
 
@@ -47,7 +47,7 @@
   private static boolean holds(Step step, long actual, int index) {
     LongBinaryOperator comparison = COMPARISONS.get(step.word(index));
     if (comparison == null) {
-      throw step.wrong("compares with =, >= or <=");
+      throw step.invalid("compares with =, >= or <=");
     }
     return comparison.applyAsLong(actual, step.parseNumber(step.word(index + 1))) != 0;
   }
@@ -74,9 +74,9 @@
   }
 
   /** Returns the number of runs of a call's body, over all upstreams. */
-  static long runsOf(ScenarioRun run, Calls.Made made) {
+  static long runsOf(ScenarioRun run, Calls.SentCall call) {
     return run.fleet().upstreams().stream()
-        .mapToLong(upstream -> upstream.runsOf(made.body()))
+        .mapToLong(upstream -> upstream.runsOf(call.body()))
         .sum();
   }
 
@@ -84,7 +84,7 @@
     return run.calls().ofLoad(load).stream()
         .collect(
             Collectors.groupingBy(
-                made -> made.caller().state(), TreeMap::new, Collectors.counting()));
+                call -> call.caller().state(), TreeMap::new, Collectors.counting()));
   }
 
   private static void checkServed(ScenarioRun run, Step step) {
@@ -106,7 +106,7 @@
     Map<String, AuditReport.Sums> budgets = run.fleet().audit().budgets();
     if (!budgets.containsKey(step.word(1))) {
       String known = budgets.keySet().stream().collect(Collectors.joining(", "));
-      throw step.wrong("there is no budget " + step.word(1) + " among " + known);
+      throw step.invalid("there is no budget " + step.word(1) + " among " + known);
     }
     return budgets.get(step.word(1));
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCount.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/LoadOutcome.java
@@ -5,9 +5,9 @@
 /**
  * The outcomes of the calls of a load.
  *
- * @param asked the number of calls sent
+ * @param sent the number of calls sent
  * @param served the number of calls that received a complete answer
- * @param runTwice the number of calls that were run more than once
+ * @param runMoreThanOnce the number of calls that were run more than once
  * @param states the number of calls by final state
  */
-public record ScenarioCount(long asked, long served, long runTwice, Map<String, Long> states) {}
+public record LoadOutcome(long sent, long served, long runMoreThanOnce, Map<String, Long> states) {}
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
@@ -50,7 +50,7 @@
         .findFirst()
         .ifPresent(
             step -> {
-              throw step.wrong("is not a step");
+              throw step.invalid("is not a step");
             });
     return new Scenario(steps);
   }
@@ -73,16 +73,19 @@
    * @param load the name of the load
    * @return the counts
    */
-  public ScenarioCount runAndCount(long seed, String load) {
+  public LoadOutcome runAndCount(long seed, String load) {
     ScenarioRun run = new ScenarioRun(seed);
     steps.forEach(step -> ACTIONS.get(step.command()).run(run, step));
     Map<String, Long> states = Expectations.statesOf(run, load);
-    long runTwice =
+    long runMoreThanOnce =
         run.calls().ofLoad(load).stream()
-            .filter(made -> Expectations.runsOf(run, made) > 1)
+            .filter(call -> Expectations.runsOf(run, call) > 1)
             .count();
-    return new ScenarioCount(
-        run.calls().ofLoad(load).size(), states.getOrDefault("served", 0L), runTwice, states);
+    return new LoadOutcome(
+        run.calls().ofLoad(load).size(),
+        states.getOrDefault("served", 0L),
+        runMoreThanOnce,
+        states);
   }
 
   /**
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioRun.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioRun.java
@@ -35,7 +35,7 @@
   /** Changes the settings of the nodes, which is allowed only before the fleet is created. */
   void configure(Step step) {
     if (fleet != null) {
-      throw step.wrong("must come before anything else");
+      throw step.invalid("must come before anything else");
     }
     BudgetSettings standard = settings.budgets();
     BudgetSettings budgets =
@@ -53,7 +53,9 @@
             budgets, settings.requests(), settings.queues(), settings.routing(), settings.drain());
   }
 
-  /** Returns the top-ups declared so far for a budget, because a declaration contains all of them. */
+  /**
+   * Returns the top-ups declared so far for a budget, because a declaration contains all of them.
+   */
   List<String> topUpsOf(String budget) {
     return topUps.computeIfAbsent(budget, name -> new ArrayList<>());
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Step.java
@@ -64,7 +64,7 @@
    */
   public String word(int index) {
     if (index >= words.size()) {
-      throw wrong("needs " + (index + 1) + " words behind it");
+      throw invalid("needs " + (index + 1) + " words behind it");
     }
     return words.get(index);
   }
@@ -75,7 +75,7 @@
    * @param word the word
    * @return true if it does
    */
-  public boolean has(String word) {
+  public boolean hasWord(String word) {
     return words.contains(word);
   }
 
@@ -86,7 +86,7 @@
    * @return its value
    */
   public String option(String name) {
-    return Optional.ofNullable(options.get(name)).orElseThrow(() -> wrong("needs " + name + "="));
+    return Optional.ofNullable(options.get(name)).orElseThrow(() -> invalid("needs " + name + "="));
   }
 
   /**
@@ -121,7 +121,7 @@
     try {
       return Long.parseLong(text.replace("_", ""));
     } catch (NumberFormatException ex) {
-      throw wrong(text + " is not a whole number");
+      throw invalid(text + " is not a whole number");
     }
   }
 
@@ -145,7 +145,7 @@
   public long parseDurationMs(String text) {
     Matcher matcher = DURATION.matcher(text);
     if (!matcher.matches()) {
-      throw wrong(text + " is not a duration such as 250ms, 5s, 10m or 1h");
+      throw invalid(text + " is not a duration such as 250ms, 5s, 10m or 1h");
     }
     return Long.parseLong(matcher.group(1)) * UNITS_MS.get(matcher.group(2));
   }
@@ -156,7 +156,7 @@
    * @param reason the reason
    * @return the error, which names the line
    */
-  public InvalidInputException wrong(String reason) {
+  public InvalidInputException invalid(String reason) {
     return InvalidInputException.of(
         FieldError.refused("line " + line, "'" + command + "' " + reason));
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineBatch.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineBatch.java
@@ -26,9 +26,9 @@
   private final List<Sequence> running = new ArrayList<>();
   private final Map<String, Boolean> cachedPrompts;
   private final Map<String, Integer> runs = new LinkedHashMap<>();
-  private final Map<String, Sequence> known = new HashMap<>();
+  private final Map<String, Sequence> sequencesById = new HashMap<>();
   private final AtomicLong tokens = new AtomicLong();
-  private volatile LoadReport reported = new LoadReport(0, 0, false, 0);
+  private volatile LoadReport sampledLoad = new LoadReport(0, 0, false, 0);
 
   EngineBatch(EngineSettings settings, Timers timers) {
     this.settings = settings;
@@ -41,12 +41,12 @@
           }
         };
     timers.every(settings.stepMs(), this::step);
-    timers.every(settings.loadLagMs(), this::takeReport);
+    timers.every(settings.loadLagMs(), this::sampleLoad);
   }
 
   synchronized void add(Sequence sequence) {
     runs.merge(sequence.requestId(), 1, Integer::sum);
-    known.put(sequence.requestId(), sequence);
+    sequencesById.put(sequence.requestId(), sequence);
     enqueue(sequence);
   }
 
@@ -56,7 +56,7 @@
   }
 
   synchronized Optional<Sequence> find(String requestId) {
-    return Optional.ofNullable(known.get(requestId));
+    return Optional.ofNullable(sequencesById.get(requestId));
   }
 
   private void enqueue(Sequence sequence) {
@@ -64,21 +64,21 @@
   }
 
   private void step() {
-    List<Sequence> stepping;
+    List<Sequence> active;
     synchronized (this) {
       fillSlots();
-      stepping = new ArrayList<>(running);
+      active = new ArrayList<>(running);
     }
-    List<Sequence> over = new ArrayList<>();
-    for (Sequence sequence : stepping) {
+    List<Sequence> finished = new ArrayList<>();
+    for (Sequence sequence : active) {
       int before = sequence.emitted();
       if (!sequence.step()) {
-        over.add(sequence);
+        finished.add(sequence);
       }
       tokens.addAndGet(sequence.emitted() - before);
     }
     synchronized (this) {
-      running.removeAll(over);
+      running.removeAll(finished);
     }
   }
 
@@ -93,13 +93,14 @@
     }
   }
 
-  private synchronized void takeReport() {
-    reported = new LoadReport(running.size(), urgent.size() + batch.size(), false, timers.nowMs());
+  private synchronized void sampleLoad() {
+    sampledLoad =
+        new LoadReport(running.size(), urgent.size() + batch.size(), false, timers.nowMs());
   }
 
   /** Returns the last sampled load, which is up to {@code loadLagMs} old. */
   LoadReport load() {
-    return reported;
+    return sampledLoad;
   }
 
   long tokens() {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
@@ -5,8 +5,8 @@
 /** Faults injected into an engine stand-in. */
 public final class EngineFaults {
 
-  private final AtomicInteger silentCalls = new AtomicInteger();
-  private final AtomicInteger crossedCalls = new AtomicInteger();
+  private final AtomicInteger stalledCalls = new AtomicInteger();
+  private final AtomicInteger misattributedCalls = new AtomicInteger();
   private final AtomicInteger extraTokens = new AtomicInteger();
   private volatile boolean leaving;
 
@@ -15,8 +15,8 @@
    *
    * @param calls the number of calls
    */
-  public void fallSilent(int calls) {
-    silentCalls.set(calls);
+  public void stallNextCalls(int calls) {
+    stalledCalls.set(calls);
   }
 
   /**
@@ -24,8 +24,8 @@
    *
    * @param calls the number of calls
    */
-  public void crossAnswers(int calls) {
-    crossedCalls.set(calls);
+  public void misattributeNextAnswers(int calls) {
+    misattributedCalls.set(calls);
   }
 
   /**
@@ -33,25 +33,25 @@
    *
    * @param tokens the number of tokens beyond the limit
    */
-  public void exceedCap(int tokens) {
+  public void exceedOutputLimit(int tokens) {
     extraTokens.set(tokens);
   }
 
   /**
    * Sets whether the engine announces that it is leaving and refuses new calls as not run.
    *
-   * @param now true to refuse new calls
+   * @param newLeaving true to refuse new calls
    */
-  public void leave(boolean now) {
-    leaving = now;
+  public void setLeaving(boolean newLeaving) {
+    leaving = newLeaving;
   }
 
-  boolean takeSilent() {
-    return take(silentCalls);
+  boolean consumeStall() {
+    return consume(stalledCalls);
   }
 
-  boolean takeCrossed() {
-    return take(crossedCalls);
+  boolean consumeMisattribution() {
+    return consume(misattributedCalls);
   }
 
   int extraTokens() {
@@ -62,7 +62,7 @@
     return leaving;
   }
 
-  private static boolean take(AtomicInteger left) {
-    return left.getAndUpdate(value -> Math.max(0, value - 1)) > 0;
+  private static boolean consume(AtomicInteger remaining) {
+    return remaining.getAndUpdate(value -> Math.max(0, value - 1)) > 0;
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineHandler.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineHandler.java
@@ -47,7 +47,7 @@
   @Override
   protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
     String requestId = request.headers().get(UpstreamHeaders.REQUEST_ID, "none");
-    if (faults.takeSilent()) {
+    if (faults.consumeStall()) {
       return;
     }
     if (faults.isLeaving()) {
@@ -62,16 +62,19 @@
     StringBuilder prompt = new StringBuilder();
     body.path("messages").forEach(message -> prompt.append(message.path("content").asText()));
     boolean streamed = body.path("stream").asBoolean();
-    String echoed = faults.takeCrossed() ? "other-" + requestId : requestId;
-    Answer answer = streamed ? new StreamAnswer(ctx, echoed) : new PlainAnswer(ctx, echoed);
+    String responseId = faults.consumeMisattribution() ? "other-" + requestId : requestId;
+    ResponseWriter writer =
+        streamed
+            ? new StreamResponseWriter(ctx, responseId)
+            : new FullResponseWriter(ctx, responseId);
     boolean urgent = !"batch".equals(request.headers().get(UpstreamHeaders.PRIORITY));
     current =
         new Sequence(
             requestId,
             prompt.toString(),
             urgent,
-            tokensOf(prompt.toString(), body.path("max_tokens").asInt(16)),
-            answer);
+            outputTokens(prompt.toString(), body.path("max_tokens").asInt(16)),
+            writer);
     batch.add(current);
   }
 
@@ -80,26 +83,26 @@
     QueryStringDecoder query = new QueryStringDecoder(uri);
     String requestId = query.path().substring(STREAMS.length());
     int from = Integer.parseInt(query.parameters().getOrDefault("from", List.of("0")).get(0));
-    Optional<Sequence> broken = batch.find(requestId);
-    if (broken.isEmpty() || from >= broken.get().maxTokens()) {
+    Optional<Sequence> interrupted = batch.find(requestId);
+    if (interrupted.isEmpty() || from >= interrupted.get().maxTokens()) {
       ctx.close();
       return;
     }
-    Sequence earlier = broken.get();
+    Sequence earlier = interrupted.get();
     current =
         new Sequence(
                 requestId,
                 earlier.prompt(),
                 earlier.isUrgent(),
                 earlier.maxTokens(),
-                new StreamAnswer(ctx, requestId))
+                new StreamResponseWriter(ctx, requestId))
             .resumeAt(from);
     batch.resume(current);
   }
 
-  private int tokensOf(String prompt, int cap) {
-    Matcher wanted = WANTED_TOKENS.matcher(prompt);
-    int tokens = wanted.find() ? Math.min(cap, Integer.parseInt(wanted.group(1))) : cap;
+  private int outputTokens(String prompt, int limit) {
+    Matcher matcher = WANTED_TOKENS.matcher(prompt);
+    int tokens = matcher.find() ? Math.min(limit, Integer.parseInt(matcher.group(1))) : limit;
     return tokens + faults.extraTokens();
   }
 
@@ -148,35 +151,35 @@
   }
 
   /** Writes the tokens of a sequence to the connection. */
-  private abstract static class Answer implements Sequence.SequenceOutput {
+  private abstract static class ResponseWriter implements Sequence.SequenceOutput {
     final ChannelHandlerContext ctx;
     final String requestId;
 
-    Answer(ChannelHandlerContext ctx, String requestId) {
+    ResponseWriter(ChannelHandlerContext ctx, String requestId) {
       this.ctx = ctx;
       this.requestId = requestId;
     }
   }
 
-  private final class StreamAnswer extends Answer {
-    private boolean begun;
+  private final class StreamResponseWriter extends ResponseWriter {
+    private boolean started;
 
-    StreamAnswer(ChannelHandlerContext ctx, String requestId) {
+    StreamResponseWriter(ChannelHandlerContext ctx, String requestId) {
       super(ctx, requestId);
     }
 
     @Override
-    public void token(String text, int promptTokens, int emittedTokens) {
-      begin();
+    public void onToken(String text, int promptTokens, int emittedTokens) {
+      start();
       ObjectNode event = Json.object().put("id", requestId);
       event.putArray("choices").addObject().put("index", 0).putObject("delta").put("content", text);
       event.set("usage", usage(promptTokens, emittedTokens));
       send("data: " + event + "\n\n");
     }
 
-    private void begin() {
-      if (!begun) {
-        begun = true;
+    private void start() {
+      if (!started) {
+        started = true;
         HttpResponse response =
             new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         setHeaders(response.headers(), requestId, "text/event-stream");
@@ -191,26 +194,26 @@
     }
 
     @Override
-    public void end(int promptTokens, int emittedTokens) {
+    public void onEnd(int promptTokens, int emittedTokens) {
       send("data: [DONE]\n\n");
       ctx.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
   }
 
-  private final class PlainAnswer extends Answer {
+  private final class FullResponseWriter extends ResponseWriter {
     private final StringBuilder text = new StringBuilder();
 
-    PlainAnswer(ChannelHandlerContext ctx, String requestId) {
+    FullResponseWriter(ChannelHandlerContext ctx, String requestId) {
       super(ctx, requestId);
     }
 
     @Override
-    public void token(String token, int promptTokens, int emittedTokens) {
+    public void onToken(String token, int promptTokens, int emittedTokens) {
       text.append(token);
     }
 
     @Override
-    public void end(int promptTokens, int emittedTokens) {
+    public void onEnd(int promptTokens, int emittedTokens) {
       ObjectNode node = Json.object().put("id", requestId).put("object", "chat.completion");
       node.putArray("choices")
           .addObject()
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
@@ -31,7 +31,7 @@
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int UNAVAILABLE = 503;
-  private static final long FORGET_AFTER_MS = 10_000;
+  private static final long EXPIRY_MS = 10_000;
 
   private final FakeTable table;
   private final FakeObjectStore objects;
@@ -49,7 +49,7 @@
   public PlatformServer(EventLoopGroup group, Timers timers, String host, int port) {
     this.table = new FakeTable(timers);
     this.objects = new FakeObjectStore(timers);
-    this.instances = new FakeInstanceList(timers, FORGET_AFTER_MS);
+    this.instances = new FakeInstanceList(timers, EXPIRY_MS);
     this.server = HttpServer.ofService(group, host, port, this);
   }
 
@@ -147,13 +147,13 @@
   }
 
   private CompletableFuture<HttpReply> setFaults(JsonNode body) {
-    set(table.faults(), body, "table");
-    set(objects.faults(), body, "objects");
-    set(instances.faults(), body, "instances");
+    applyFault(table.faults(), body, "table");
+    applyFault(objects.faults(), body, "objects");
+    applyFault(instances.faults(), body, "instances");
     return CompletableFuture.completedFuture(HttpReply.json(OK, Json.object()));
   }
 
-  private static void set(FaultInjector faults, JsonNode body, String name) {
+  private static void applyFault(FaultInjector faults, JsonNode body, String name) {
     if (body.has(name)) {
       faults.setFault(Fault.valueOf(body.path(name).asText()));
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
@@ -23,9 +23,9 @@
   /** Receives the tokens of a sequence. */
   interface SequenceOutput {
 
-    void token(String text, int promptTokens, int emittedTokens);
+    void onToken(String text, int promptTokens, int emittedTokens);
 
-    void end(int promptTokens, int emittedTokens);
+    void onEnd(int promptTokens, int emittedTokens);
   }
 
   String requestId() {
@@ -81,11 +81,11 @@
     }
     String text = EngineText.token(prompt, emitted);
     emitted++;
-    output.token(text, promptTokens(), emitted);
+    output.onToken(text, promptTokens(), emitted);
     if (emitted < maxTokens) {
       return true;
     }
-    output.end(promptTokens(), emitted);
+    output.onEnd(promptTokens(), emitted);
     return false;
   }
 }
--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -27,40 +27,49 @@
   private static final EngineSettings ENGINE = new EngineSettings(16, 1, 512, 16, 50);
   private static final JsonNode REQUESTS = Json.object().put("stallMs", 300);
 
-  private final DemoFloor floor = new DemoFloor(1, 2, ENGINE, Map.of("requests", REQUESTS));
+  private final DemoCluster cluster = new DemoCluster(1, 2, ENGINE, Map.of("requests", REQUESTS));
 
   @BeforeEach
   void declare() {
-    floor.declareTeam("branch");
-    floor.declareBudget("b", "branch", 1_000_000);
-    floor.declareModel("asistan", ENGINE);
-    floor.awaitConfig();
+    cluster.declareTeam("branch");
+    cluster.declareBudget("b", "branch", 1_000_000);
+    cluster.declareModel("asistan", ENGINE);
+    cluster.awaitConfig();
   }
 
   @AfterEach
   void close() {
-    floor.close();
+    cluster.close();
   }
 
   private CallResult call(String prompt, boolean streamed) {
     Call call =
         new Call(
-            "branch", DemoFloor.keyOf("branch"), "asistan", prompt, 20, streamed, "urgent", "");
-    return new CheckingCaller(floor.http()).send(floor.caller(0), call, System.nanoTime()).join();
+            "branch",
+            DemoCluster.apiKeyOf("branch"),
+            "asistan",
+            prompt,
+            20,
+            streamed,
+            "urgent",
+            "");
+    return new CheckingCaller(cluster.http())
+        .send(cluster.callerAddress(0), call, System.nanoTime())
+        .join();
   }
 
   private long runs() {
-    return floor.engines().values().stream().mapToLong(engine -> engine.runs().size()).sum();
+    return cluster.engines().values().stream().mapToLong(engine -> engine.runs().size()).sum();
   }
 
   // Guards against delivering the answer of another request: an engine answers with a foreign
   // request id. The answer is dropped, the connection closed and the call retried, here after both
   // engines have failed.
   @Test
-  void crossedAnswerIsDroppedAndTheCallServedElsewhere() {
+  void answerWithForeignRequestIdIsDroppedAndTheCallRetried() {
     // GIVEN
-    floor.engines().get("engine-1").faults().crossAnswers(1);
-    floor.engines().get("engine-2").faults().crossAnswers(1);
+    cluster.engines().get("engine-1").faults().misattributeNextAnswers(1);
+    cluster.engines().get("engine-2").faults().misattributeNextAnswers(1);
     // WHEN
     CallResult first = call("crossed", true);
     // THEN
@@ -72,9 +81,9 @@
   // call without a response. The watchdog closes that connection, the call is retried, and the
   // engines serve later calls.
   @Test
-  void silentConnectionCostsNoMoreThanItsWatchdog() {
+  void stalledConnectionIsClosedByTheWatchdogAndTheCallRetried() {
     // GIVEN
-    floor.engines().values().forEach(engine -> engine.faults().fallSilent(1));
+    cluster.engines().values().forEach(engine -> engine.faults().stallNextCalls(1));
     // WHEN
     CallResult first = call("silent", true);
     CallResult second = call("after", false);
@@ -84,10 +93,10 @@
   }
 
   @Test
-  void leavingEngineGetsNothingNew() {
+  void leavingEngineReceivesNoNewCalls() {
     // GIVEN
-    EngineServer leaving = floor.engines().get("engine-1");
-    leaving.faults().leave(true);
+    EngineServer leaving = cluster.engines().get("engine-1");
+    leaving.faults().setLeaving(true);
     // WHEN
     for (int number = 0; number < 10; number++) {
       assertThat(call("call " + number, number % 2 == 0).isServed()).isTrue();
@@ -99,9 +108,9 @@
   // Guards against billing more than was reserved: an engine ignores the output limit. The stream
   // is truncated at the limit and terminated properly.
   @Test
-  void answerBeyondItsCapIsCut() {
+  void answerBeyondTheOutputLimitIsTruncated() {
     // GIVEN
-    floor.engines().values().forEach(engine -> engine.faults().exceedCap(500));
+    cluster.engines().values().forEach(engine -> engine.faults().exceedOutputLimit(500));
     // WHEN
     CallResult cut = call("too long", true);
     // THEN
@@ -110,16 +119,16 @@
   }
 
   @Test
-  void engineGoesOnWithStreamFromAnyToken() {
+  void engineResumesStreamAtAnyToken() {
     // GIVEN
     assertThat(call("resumed", true).isServed()).isTrue();
     EngineServer engine =
-        floor.engines().values().stream().filter(one -> !one.runs().isEmpty()).findFirst().get();
+        cluster.engines().values().stream().filter(one -> !one.runs().isEmpty()).findFirst().get();
     String requestId = engine.runs().keySet().iterator().next();
     // WHEN
     HttpReply rest =
         ResponseAggregator.of(
-                floor.http(),
+                cluster.http(),
                 new Address("127.0.0.1", engine.port()),
                 HttpMethod.GET,
                 "/v1/streams/" + requestId + "?from=18",
@@ -136,10 +145,10 @@
   }
 
   @Test
-  void killedEngineCostsRepeatableCallsNothing() {
+  void killedEngineDoesNotFailIdempotentCalls() {
     // GIVEN
     assertThat(call("before", true).isServed()).isTrue();
-    floor.engines().get("engine-2").close();
+    cluster.engines().get("engine-2").close();
     // WHEN
     for (int number = 0; number < 10; number++) {
       assertThat(call("after " + number, true).isServed()).isTrue();
--- a/mothrill-lab/src/test/java/io/mothrill/lab/explore/ExplorationPropertyTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/explore/ExplorationPropertyTest.java
@@ -20,20 +20,20 @@
   // whether the call was run, while domains are partitioned, instances are suspended, engines fail
   // and the platform loses answers.
   @Property(tries = 25, seed = "4711")
-  void booksAndAnswersAreRightWhenNoInstanceDies(
+  void billsAndAnswersAreCorrectWithoutInstanceCrashes(
       @ForAll @LongRange(min = 1, max = 100_000) long seed) {
     check(seed, FaultMix.WITHOUT_DEATHS);
   }
 
   // In addition, instances crash at any step of a request and are replaced at the same address.
   @Property(tries = 25, seed = "4712")
-  void nothingIsOverspentOrBilledOrRunTwiceWhenInstancesDie(
+  void nothingIsOverspentOrBilledOrRunTwiceWithInstanceCrashes(
       @ForAll @LongRange(min = 1, max = 100_000) long seed) {
     check(seed, FaultMix.WITH_DEATHS);
   }
 
   private static void check(long seed, FaultMix mix) {
-    List<String> broken = new Exploration(seed, mix).run(STEPS);
-    assertWithMessage("seed %s with %s", seed, mix).that(broken).isEmpty();
+    List<String> violations = new Exploration(seed, mix).run(STEPS);
+    assertWithMessage("seed %s with %s", seed, mix).that(violations).isEmpty();
   }
 }
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
@@ -25,13 +25,13 @@
 // therefore recorded by the call's fingerprint and reported to the other instances.
 class CrashingCallTest {
 
-  private static final String DEADLY = "deadly";
+  private static final String CRASHING_BODY = "deadly";
   private static final int UPSTREAMS = 6;
   private static final int REPEATS = 10;
   private static final int CRASHES = 3;
 
   /** After this time a crashed upstream has restarted and the caller retries. */
-  private static final long PAUSE_MS = 5_000;
+  private static final long RETRY_PAUSE_MS = 5_000;
 
   private final Fleet fleet = new Fleet(NodeSettings.standard(), 1);
 
@@ -48,36 +48,37 @@
         .forEach(
             name -> {
               fleet.declare(name, new UpstreamSpec("asistan", name, 1, "konya", 32, false));
-              fleet.upstream(name).endUnder(DEADLY);
+              fleet.upstream(name).crashOn(CRASHING_BODY);
             });
     fleet.advanceMs(60_000);
   }
 
   private static CallRequest request() {
-    return PlainCalls.to("asistan", DEADLY);
+    return PlainCalls.to("asistan", CRASHING_BODY);
   }
 
   @Test
-  void isSentToNoUpstreamOnceThreeHaveEndedUnderIt() {
+  void isSentToNoUpstreamAfterThreeCrashes() {
     startFleet();
 
     for (int repeat = 0; repeat < REPEATS; repeat++) {
       fleet.call(repeat % 2 == 0 ? "konya-1" : "konya-2", request());
-      fleet.advanceMs(PAUSE_MS);
+      fleet.advanceMs(RETRY_PAUSE_MS);
     }
 
-    int runs = fleet.upstreams().stream().mapToInt(upstream -> upstream.runsOf(DEADLY)).sum();
+    int runs =
+        fleet.upstreams().stream().mapToInt(upstream -> upstream.runsOf(CRASHING_BODY)).sum();
     assertThat(runs).isEqualTo(CRASHES);
   }
 
   // Three upstreams have crashed. The call arrives at the instance that knows this only from
   // reports; its caller is told immediately that the call was not run and when to retry.
   @Test
-  void tellsItsCallerThatItHasNotRunAndWhenToComeBack() {
+  void isRefusedAsNotRunWithRetryAfter() {
     startFleet();
     for (int repeat = 0; repeat < CRASHES; repeat++) {
       fleet.call("konya-1", request());
-      fleet.advanceMs(PAUSE_MS);
+      fleet.advanceMs(RETRY_PAUSE_MS);
     }
 
     MemoryCaller caller = fleet.call("konya-2", request());
@@ -92,16 +93,16 @@
   // Guards against blaming a call that was in flight at an upstream when another call crashed it:
   // it is not quarantined and is served by the next upstream that stays up.
   @Test
-  void bystandersAreServed() {
+  void otherCallsInFlightAreServed() {
     startFleet();
     fleet.call("konya-1", request());
-    MemoryCaller bystander = fleet.call("konya-1", PlainCalls.to("asistan", "innocent"));
-    fleet.advanceMs(PAUSE_MS);
-    assertThat(bystander.refusal().map(Refusal::code))
+    MemoryCaller otherCall = fleet.call("konya-1", PlainCalls.to("asistan", "innocent"));
+    fleet.advanceMs(RETRY_PAUSE_MS);
+    assertThat(otherCall.refusal().map(Refusal::code))
         .isNotEqualTo(Optional.of("crashes_upstreams"));
 
     MemoryCaller again = fleet.call("konya-2", PlainCalls.to("asistan", "innocent"));
-    fleet.advanceMs(PAUSE_MS);
+    fleet.advanceMs(RETRY_PAUSE_MS);
 
     assertThat(again.refusal()).isEqualTo(Optional.empty());
   }
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/EvacuatedCallTest.java
@@ -26,7 +26,7 @@
   private static final int CALLS = 8;
 
   /** A change is applied by all instances within a few polling intervals. */
-  private static final long IN_FORCE_MS = 3_000;
+  private static final long APPLY_MS = 3_000;
 
   private final Fleet fleet = new Fleet(NodeSettings.standard(), 1);
 
@@ -50,7 +50,7 @@
 
   private void evacuate(String domain) {
     fleet.declare(domain, new EvacuationSpec());
-    fleet.advanceMs(IN_FORCE_MS);
+    fleet.advanceMs(APPLY_MS);
   }
 
   private MemoryCaller call(int number) {
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void callersHearAtOnceThatNothingRanWhereAllDomainsAreEvacuated() {
+  void callersAreRefusedImmediatelyAsNotRunWhenAllDomainsAreEvacuated() {
     evacuate("konya");
     evacuate("kayseri");
 
--- a/mothrill-lab/src/test/java/io/mothrill/lab/scenario/ScenariosTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/scenario/ScenariosTest.java
@@ -18,7 +18,7 @@
   private static final long SEED = 1;
 
   @TestFactory
-  Stream<DynamicTest> everyScenarioOfTheFolderHolds() throws IOException {
+  Stream<DynamicTest> everyScenarioPasses() throws IOException {
     try (Stream<Path> files = Files.list(Path.of("../scenarios"))) {
       List<Path> scenarios = files.sorted().toList();
       assertThat(scenarios).isNotEmpty();
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void anExpectationThatDoesNotHoldIsNamedWithItsLine() {
+  void unmetExpectationIsReportedWithItsLine() {
     // GIVEN
     Scenario scenario = Scenario.parse("start a-1 a\nexpect revision a-1 = 5");
     // WHEN
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void unknownStepIsRefusedWithItsLine() {
+  void unknownStepIsRejectedWithItsLine() {
     // WHEN
     InvalidInputException error =
         assertThrows(InvalidInputException.class, () -> Scenario.parse("start a-1 a\njump"));
