--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
@@ -1,8 +1,8 @@
 package io.mothrill.lab.experiment;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.mothrill.lab.scenario.LoadOutcome;
 import io.mothrill.lab.scenario.Scenario;
+import io.mothrill.lab.scenario.ScenarioCount;
 import io.mothrill.wire.json.Json;
 
 /**
@@ -38,9 +38,10 @@
     measure(figures, "platform down", "platform down\n", ALL);
     measure(
         figures, "platform down and one instance dead", "platform down\nkill ankara-a-1\n", ALL);
-    String cut = "cut konya platform\ncut konya ankara-a\ncut konya ankara-b\ncut konya kayseri\n";
-    measure(figures, "konya cut off: the others", cut, ALL.replace("konya-1,", ""));
-    measure(figures, "konya cut off: konya", cut, "at=konya-1");
+    String partition =
+        "cut konya platform\ncut konya ankara-a\ncut konya ankara-b\ncut konya kayseri\n";
+    measure(figures, "konya cut off: the others", partition, ALL.replace("konya-1,", ""));
+    measure(figures, "konya cut off: konya", partition, "at=konya-1");
     return figures;
   }
 
@@ -53,15 +54,14 @@
       ObjectNode figures, String name, String fault, String instances, String keyed) {
     String load =
         "load name=out plain service=sira every=200ms for=10m " + instances + keyed + "\n";
-    LoadOutcome outcome =
+    ScenarioCount count =
         Scenario.parse(FLEET + fault + load + "advance 30s\n").runAndCount(1, "out");
     System.out.printf(
-        "%-52s asked %5d served %5d  %s%n",
-        name, outcome.sent(), outcome.served(), outcome.states());
+        "%-52s asked %5d served %5d  %s%n", name, count.sent(), count.served(), count.states());
     figures
         .putObject(name)
-        .put("asked", outcome.sent())
-        .put("served", outcome.served())
-        .put("runTwice", outcome.runMoreThanOnce());
+        .put("asked", count.sent())
+        .put("served", count.served())
+        .put("runTwice", count.runMoreThanOnce());
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Scenario.java
@@ -73,7 +73,7 @@
    * @param load the name of the load
    * @return the counts
    */
-  public LoadOutcome runAndCount(long seed, String load) {
+  public ScenarioCount runAndCount(long seed, String load) {
     ScenarioRun run = new ScenarioRun(seed);
     steps.forEach(step -> ACTIONS.get(step.command()).run(run, step));
     Map<String, Long> states = Expectations.statesOf(run, load);
@@ -81,7 +81,7 @@
         run.calls().ofLoad(load).stream()
             .filter(call -> Expectations.runsOf(run, call) > 1)
             .count();
-    return new LoadOutcome(
+    return new ScenarioCount(
         run.calls().ofLoad(load).size(),
         states.getOrDefault("served", 0L),
         runMoreThanOnce,
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/LoadOutcome.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/ScenarioCount.java
@@ -10,4 +10,5 @@
  * @param runMoreThanOnce the number of calls that were run more than once
  * @param states the number of calls by final state
  */
-public record LoadOutcome(long sent, long served, long runMoreThanOnce, Map<String, Long> states) {}
+public record ScenarioCount(
+    long sent, long served, long runMoreThanOnce, Map<String, Long> states) {}
--- a/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/demo/EngineFaultsTest.java
@@ -112,10 +112,10 @@
     // GIVEN
     cluster.engines().values().forEach(engine -> engine.faults().exceedOutputLimit(500));
     // WHEN
-    CallResult cut = call("too long", true);
+    CallResult truncated = call("too long", true);
     // THEN
-    assertThat(cut.isServed()).isTrue();
-    assertThat(cut.billableTokens()).isAtMost(20 + 3);
+    assertThat(truncated.isServed()).isTrue();
+    assertThat(truncated.billableTokens()).isAtMost(20 + 3);
   }
 
   @Test
