--- a/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoFloor.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/demo/DemoCluster.java
@@ -27,8 +27,11 @@
 import java.util.TreeMap;
 import java.util.UUID;
 
-/** A platform, engines, a plain service and entry instances on loopback, in one process. */
-public final class DemoFloor implements AutoCloseable {
+/**
+ * A local cluster on the loopback interface in one process: a platform, engines, a plain service
+ * and entry instances.
+ */
+public final class DemoCluster implements AutoCloseable {
 
   private static final String HOST = "127.0.0.1";
   private static final long TIMEOUT_MS = 10_000;
@@ -40,17 +43,18 @@
   private final PlatformServer platform = new PlatformServer(group, timers, HOST, 0);
   private final Map<String, EngineServer> engines = new TreeMap<>();
   private final List<EntryInstance> instances = new ArrayList<>();
-  private final PlainServer plain = new PlainServer(group, timers, HOST, 0, 5);
+  private final PlainServer plainService = new PlainServer(group, timers, HOST, 0, 5);
 
   /**
-   * Starts the floor.
+   * Starts the cluster.
    *
-   * @param instanceCount how many entry instances; they stand in two failure domains
-   * @param engineCount how many engines
-   * @param engine how the engines work
-   * @param overrides settings of the instances other than their own standard, as JSON objects
+   * @param instanceCount the number of entry instances, which alternate between two failure domains
+   * @param engineCount the number of engines
+   * @param engine the settings of the engines
+   * @param overrides settings of the instances that differ from the defaults, as JSON values by
+   *     name
    */
-  public DemoFloor(
+  public DemoCluster(
       int instanceCount, int engineCount, EngineSettings engine, Map<String, JsonNode> overrides) {
     for (int number = 1; number <= engineCount; number++) {
       engines.put("engine-" + number, new EngineServer(group, timers, HOST, 0, engine));
@@ -74,12 +78,12 @@
   }
 
   /**
-   * Gives the key of a team's callers.
+   * Returns the API key of a team's callers.
    *
-   * @param team the team's name
+   * @param team the name of the team
    * @return the key
    */
-  public static String keyOf(String team) {
+  public static String apiKeyOf(String team) {
     return team + ".secret-of-" + team;
   }
 
@@ -107,10 +111,10 @@
   /**
    * Declares a team with one key.
    *
-   * @param team the team's name
+   * @param team the name of the team
    */
   public void declareTeam(String team) {
-    TeamKey key = TeamKey.hash(SALT, keyOf(team).substring(team.length() + 1));
+    TeamKey key = TeamKey.hash(SALT, apiKeyOf(team).substring(team.length() + 1));
     ObjectNode spec = Json.object();
     spec.putArray("keys").addObject().put("salt", key.salt()).put("sha256", key.sha256());
     declare("Team", team, spec);
@@ -119,8 +123,8 @@
   /**
    * Declares a budget with its top-ups.
    *
-   * @param budget the budget's name
-   * @param team the team's name
+   * @param budget the name of the budget
+   * @param team the name of the team
    * @param topUpTokens the tokens of each top-up, in order
    */
   public void declareBudget(String budget, String team, long... topUpTokens) {
@@ -135,8 +139,8 @@
   /**
    * Declares a model service and an upstream for each engine.
    *
-   * @param model the model's name
-   * @param engine how the engines work
+   * @param model the name of the model
+   * @param engine the settings of the engines
    */
   public void declareModel(String model, EngineSettings engine) {
     declare("Service", model, Json.object().put("type", "model").put("maxOutputTokens", 2_000));
@@ -150,16 +154,16 @@
   }
 
   /**
-   * Declares the plain service, whose calls may not be repeated.
+   * Declares the plain service, whose calls are not idempotent.
    *
-   * @param service the service's name
+   * @param service the name of the service
    */
-  public void declareTickets(String service) {
+  public void declarePlainService(String service) {
     declare(
         "Service",
         service,
         Json.object().put("type", "plain").put("repeatable", false).put("tokensPerCall", 1));
-    declare("Upstream", service + "-1", upstream(service, plain.port(), 1, 32));
+    declare("Upstream", service + "-1", upstream(service, plainService.port(), 1, 32));
   }
 
   private static ObjectNode upstream(String service, int port, int number, int slots) {
@@ -171,22 +175,22 @@
         .put("slots", slots);
   }
 
-  /** Waits until every instance has the configuration that was declared last. */
+  /** Waits until every instance has applied the last declared configuration. */
   public void awaitConfig() {
     long revision = Json.read(config(0).body()).path("revision").asLong();
-    for (int tries = 0; tries < 200; tries++) {
+    for (int attempt = 0; attempt < 200; attempt++) {
       long wanted = revision;
       if (instances.stream().allMatch(instance -> revisionOf(instance) >= wanted)) {
         return;
       }
-      pause(50);
+      sleep(50);
       revision = Math.max(revision, revisionOf(instances.get(0)));
     }
-    throw new IllegalStateException("the configuration did not spread");
+    throw new IllegalStateException("instances did not apply the configuration in time");
   }
 
   private HttpReply config(int index) {
-    pause(600);
+    sleep(600);
     Address server = new Address(HOST, instances.get(index).operatorPort());
     return new OperatorClient(http, server, "demo", TIMEOUT_MS).config().join();
   }
@@ -197,11 +201,11 @@
   }
 
   /**
-   * Lets real time pass.
+   * Sleeps for a duration of real time.
    *
-   * @param durationMs milliseconds
+   * @param durationMs the duration in milliseconds
    */
-  public static void pause(long durationMs) {
+  public static void sleep(long durationMs) {
     try {
       Thread.sleep(durationMs);
     } catch (InterruptedException ex) {
@@ -210,17 +214,17 @@
   }
 
   /**
-   * Gives the address for callers of an instance.
+   * Returns the caller address of an instance.
    *
-   * @param index the instance, from 0
+   * @param index the index of the instance, from 0
    * @return the address
    */
-  public Address caller(int index) {
+  public Address callerAddress(int index) {
     return new Address(HOST, instances.get(index).callerPort());
   }
 
   /**
-   * Gives the instances.
+   * Returns the instances.
    *
    * @return the instances in order
    */
@@ -229,7 +233,7 @@
   }
 
   /**
-   * Gives the engines.
+   * Returns the engines.
    *
    * @return the engines by name
    */
@@ -238,16 +242,16 @@
   }
 
   /**
-   * Gives the plain service.
+   * Returns the plain service.
    *
    * @return the service
    */
-  public PlainServer plain() {
-    return plain;
+  public PlainServer plainService() {
+    return plainService;
   }
 
   /**
-   * Gives the platform.
+   * Returns the platform.
    *
    * @return the platform
    */
@@ -256,7 +260,7 @@
   }
 
   /**
-   * Gives an HTTP client.
+   * Returns an HTTP client.
    *
    * @return the client
    */
@@ -268,7 +272,7 @@
   public void close() {
     instances.forEach(EntryInstance::close);
     engines.values().forEach(EngineServer::close);
-    plain.close();
+    plainService.close();
     platform.close();
     group.shutdownGracefully();
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/ExperimentCommand.java
@@ -12,7 +12,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code mothrill lab experiment}: measures a policy beside its baselines. */
+/** {@code mothrill lab experiment}: runs an experiment and prints its measurements. */
 public final class ExperimentCommand implements Command {
 
   private static final Map<String, Supplier<Experiment>> EXPERIMENTS =
@@ -30,12 +30,12 @@
 
   @Override
   public int run() throws IOException {
-    Supplier<Experiment> found = EXPERIMENTS.get(name);
-    if (found == null) {
+    Supplier<Experiment> experiment = EXPERIMENTS.get(name);
+    if (experiment == null) {
       String known = String.join(", ", EXPERIMENTS.keySet().stream().sorted().toList());
       throw InvalidInputException.of(FieldError.refused("NAME", "must be one of " + known));
     }
-    ObjectNode figures = found.get().run();
+    ObjectNode figures = experiment.get().run();
     if (!json.isEmpty()) {
       Files.writeString(Path.of(json), figures.toPrettyString());
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/experiment/OutageExperiment.java
@@ -5,7 +5,10 @@
 import io.mothrill.lab.scenario.ScenarioCount;
 import io.mothrill.wire.json.Json;
 
-/** How many unrepeatable calls are served while the platform, or a domain's way to it, is down. */
+/**
+ * Measures how many non-idempotent calls are served while the platform is down or a failure domain
+ * is partitioned from it.
+ */
 final class OutageExperiment implements Experiment {
 
   private static final String FLEET =
@@ -35,9 +38,10 @@
     measure(figures, "platform down", "platform down\n", ALL);
     measure(
         figures, "platform down and one instance dead", "platform down\nkill ankara-a-1\n", ALL);
-    String cut = "cut konya platform\ncut konya ankara-a\ncut konya ankara-b\ncut konya kayseri\n";
-    measure(figures, "konya cut off: the others", cut, ALL.replace("konya-1,", ""));
-    measure(figures, "konya cut off: konya", cut, "at=konya-1");
+    String partition =
+        "cut konya platform\ncut konya ankara-a\ncut konya ankara-b\ncut konya kayseri\n";
+    measure(figures, "konya cut off: the others", partition, ALL.replace("konya-1,", ""));
+    measure(figures, "konya cut off: konya", partition, "at=konya-1");
     return figures;
   }
 
@@ -53,11 +57,11 @@
     ScenarioCount count =
         Scenario.parse(FLEET + fault + load + "advance 30s\n").runAndCount(1, "out");
     System.out.printf(
-        "%-52s asked %5d served %5d  %s%n", name, count.asked(), count.served(), count.states());
+        "%-52s asked %5d served %5d  %s%n", name, count.sent(), count.served(), count.states());
     figures
         .putObject(name)
-        .put("asked", count.asked())
+        .put("asked", count.sent())
         .put("served", count.served())
-        .put("runTwice", count.runTwice());
+        .put("runTwice", count.runMoreThanOnce());
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/Fleet.java
@@ -34,26 +34,27 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A few nodes in memory whose time, network, platform and upstreams the caller holds in hand.
+ * An in-memory cluster of nodes whose clock, network, platform and upstreams are under the control
+ * of the caller.
  *
  * <pre>{@code
  * Fleet fleet = new Fleet(NodeSettings.standard(), 42);
  * fleet.start("konya-1", "konya");
- * fleet.network().cut("konya", Network.PLATFORM);
+ * fleet.network().partition("konya", Network.PLATFORM);
  * fleet.advanceMs(3_600_000);
  * }</pre>
  */
 public final class Fleet {
 
-  private static final long LIST_LAG_MS = 10_000;
-  private static final long REPORT_MS = 1;
+  private static final long INSTANCE_EXPIRY_MS = 10_000;
+  private static final long CRASH_MESSAGE_LATENCY_MS = 1;
 
   private final NodeSettings settings;
   private final Random random;
   private Fault platformFault = Fault.NONE;
   private final ManualTimers timers = new ManualTimers();
   private final FakeTable table = new FakeTable(timers);
-  private final FakeInstanceList instances = new FakeInstanceList(timers, LIST_LAG_MS);
+  private final FakeInstanceList instances = new FakeInstanceList(timers, INSTANCE_EXPIRY_MS);
   private final Network network = new Network();
   private final MemoryLinks links = new MemoryLinks(timers, network);
   private final Map<String, FleetNode> nodes = new TreeMap<>();
@@ -62,8 +63,8 @@
   /**
    * Creates a fleet without nodes.
    *
-   * @param settings how its nodes decide
-   * @param seed makes every random choice, so that a run can be repeated
+   * @param settings the settings of its nodes
+   * @param seed the seed of all random choices, which makes a run reproducible
    */
   public Fleet(NodeSettings settings, long seed) {
     this.settings = settings;
@@ -71,71 +72,73 @@
   }
 
   /**
-   * Starts a node; an earlier one of that name must be dead or gone.
+   * Starts a node; an earlier node with the same id must have been killed.
    *
-   * @param id the instance's name
+   * @param id the id of the instance
    * @param domain its failure domain
    * @return the node
    */
   public FleetNode start(String id, String domain) {
-    Random own = new Random(random.nextLong());
+    Random nodeRandom = new Random(random.nextLong());
     InstanceRecord record =
-        new InstanceRecord(id, id + "." + Node.newId(own), domain, id, 1, false);
-    Network.Place place = Network.Place.of(id, domain);
+        new InstanceRecord(id, id + "." + Node.newId(nodeRandom), domain, id, 1, false);
+    Network.Location location = Network.Location.of(id, domain);
     NodeClock clock = new NodeClock(timers);
-    FaultInjector way = new FaultInjector(clock);
-    way.setFault(platformFault);
+    FaultInjector platformFaults = new FaultInjector(clock);
+    platformFaults.setFault(platformFault);
     PeerDispatcher dispatcher = new PeerDispatcher();
-    links.join(id, place, clock, dispatcher);
-    PlatformWay platform = new PlatformWay(network, place, way);
+    links.register(id, location, clock, dispatcher);
+    PlatformAccess platform = new PlatformAccess(network, location, platformFaults);
     NodePorts ports =
         new NodePorts(
-            platform.table(table, way),
+            platform.table(table, platformFaults),
             platform.list(instances),
-            links.of(place, clock),
+            links.linksFrom(location, clock),
             dispatcher,
-            upstreamsOf(place, clock),
-            upstream -> endOf(place, upstream),
-            (message, to) -> to.forEach(peer -> report(record, message, peer)),
+            upstreamClient(location, clock),
+            upstream -> probeEnd(location, upstream),
+            (message, to) -> to.forEach(peer -> deliverCrashMessage(record, message, peer)),
             new JsonResources(),
             clock,
-            own);
+            nodeRandom);
     FleetNode node =
-        new FleetNode(record, new Node(record, ports, settings, new MetricRegistry()), clock, way);
+        new FleetNode(
+            record, new Node(record, ports, settings, new MetricRegistry()), clock, platformFaults);
     nodes.put(id, node);
     return node;
   }
 
-  private UpstreamClient upstreamsOf(Network.Place place, NodeClock clock) {
+  private UpstreamClient upstreamClient(Network.Location location, NodeClock clock) {
     return (call, listener) -> {
       MemoryUpstream target = upstream(call.target().host());
-      Network.Place at = Network.Place.of(call.target().host(), call.target().domain());
-      return network.reaches(place, at)
+      Network.Location upstreamLocation =
+          Network.Location.of(call.target().host(), call.target().domain());
+      return network.reaches(location, upstreamLocation)
           ? target.start(call, listener, clock)
           : MemoryUpstream.unreachable(call, listener, clock);
     };
   }
 
-  /** An upstream behind a cut shows no end. */
-  private CompletableFuture<Boolean> endOf(Network.Place from, RegisteredUpstream upstream) {
-    Network.Place at = Network.Place.of(upstream.host(), upstream.domain());
+  /** The end of an upstream beyond a network partition is not detected. */
+  private CompletableFuture<Boolean> probeEnd(Network.Location from, RegisteredUpstream upstream) {
+    Network.Location upstreamLocation = Network.Location.of(upstream.host(), upstream.domain());
     return CompletableFuture.completedFuture(
-        network.reaches(from, at) && upstream(upstream.host()).isDown());
+        network.reaches(from, upstreamLocation) && upstream(upstream.host()).isDown());
   }
 
-  /** Carries a message that is neither confirmed nor repeated. */
-  private void report(InstanceRecord from, CrashMessage message, InstanceRecord to) {
+  /** Delivers a crash message, which is neither acknowledged nor retransmitted. */
+  private void deliverCrashMessage(InstanceRecord from, CrashMessage message, InstanceRecord to) {
     FleetNode target = nodes.get(to.id());
-    Network.Place place = Network.Place.of(from.id(), from.domain());
-    if (target != null && network.reaches(place, target.place())) {
+    Network.Location location = Network.Location.of(from.id(), from.domain());
+    if (target != null && network.reaches(location, target.location())) {
       timers.after(
-          REPORT_MS,
+          CRASH_MESSAGE_LATENCY_MS,
           () -> target.clock().run(() -> target.node().crashes().onMessage(message, from)));
     }
   }
 
   /**
-   * Gives an upstream; it comes to be when it is first named.
+   * Returns an upstream, which is created when it is first requested.
    *
    * @param name the name, which is also its host
    * @return the upstream
@@ -145,18 +148,19 @@
   }
 
   /**
-   * Lists the upstreams.
+   * Returns the upstreams.
    *
-   * @return the upstreams that were named so far
+   * @return the upstreams created so far
    */
   public List<MemoryUpstream> upstreams() {
     return List.copyOf(upstreams.values());
   }
 
   /**
-   * Declares a resource directly at the platform, as an operator elsewhere would.
+   * Declares a resource directly in the platform's table, as an operator would through an instance
+   * outside the fleet.
    *
-   * @param name the resource's name
+   * @param name the name of the resource
    * @param spec the spec
    */
   public void declare(String name, Spec spec) {
@@ -176,9 +180,9 @@
   /**
    * Sends a request to a node.
    *
-   * @param id the instance's name
+   * @param id the id of the instance
    * @param request the request
-   * @return the caller
+   * @return the caller, which records the answer
    */
   public MemoryCaller call(String id, CallRequest request) {
     FleetNode node = nodes.get(id);
@@ -188,19 +192,19 @@
   }
 
   /**
-   * Lets time pass.
+   * Advances the clock and runs the tasks that become due.
    *
-   * @param durationMs milliseconds
+   * @param durationMs the duration in milliseconds
    */
   public void advanceMs(long durationMs) {
     timers.advanceMs(durationMs);
   }
 
   /**
-   * Finds a node.
+   * Returns a node.
    *
-   * @param id the instance's name
-   * @return the node started last under that name
+   * @param id the id of the instance
+   * @return the node that was last started with that id
    */
   public FleetNode node(String id) {
     return Optional.ofNullable(nodes.get(id))
@@ -208,16 +212,16 @@
   }
 
   /**
-   * Lists the nodes.
+   * Returns the nodes.
    *
-   * @return the nodes in order of their names, dead ones too
+   * @return the nodes in the order of their ids, including killed ones
    */
   public List<FleetNode> nodes() {
     return List.copyOf(nodes.values());
   }
 
   /**
-   * Gives the network.
+   * Returns the network.
    *
    * @return the network
    */
@@ -226,38 +230,38 @@
   }
 
   /**
-   * Says whether messages get from one node to another.
+   * Checks whether messages from one node reach another.
    *
-   * @param from the one node
-   * @param to the other node
-   * @return true when no cut lies between them
+   * @param from the sending node
+   * @param to the receiving node
+   * @return true when no partition separates them
    */
   public boolean reaches(FleetNode from, FleetNode to) {
-    return network.reaches(from.place(), to.place());
+    return network.reaches(from.location(), to.location());
   }
 
   /**
-   * Says whether a node reaches the platform.
+   * Checks whether a node reaches the platform.
    *
    * @param from the node
-   * @return true when no cut lies between them
+   * @return true when no partition separates them
    */
   public boolean reachesPlatform(FleetNode from) {
-    return network.reaches(from.place(), Network.Place.of(Network.PLATFORM));
+    return network.reaches(from.location(), Network.Location.of(Network.PLATFORM));
   }
 
   /**
-   * Reads a row past all faults.
+   * Reads a row, bypassing all injected faults.
    *
-   * @param key the row's address
+   * @param key the key of the row
    * @return the row
    */
-  public Row readNow(RowKey key) {
+  public Row readBypassingFaults(RowKey key) {
     return table.withFaults(new FaultInjector(timers)).read(List.of(key)).join().get(0);
   }
 
   /**
-   * Gives the platform's table.
+   * Returns the table of the platform.
    *
    * @return the table
    */
@@ -266,37 +270,37 @@
   }
 
   /**
-   * Takes the platform down for everyone, or brings it back.
+   * Sets the fault of the platform for all nodes.
    *
-   * @param fault what happens to calls
+   * @param fault the fault; {@link Fault#NONE} ends an outage
    */
-  public void failPlatform(Fault fault) {
+  public void setPlatformFault(Fault fault) {
     platformFault = fault;
     table.faults().setFault(fault);
     instances.faults().setFault(fault);
-    nodes.values().forEach(node -> node.platformWay().setFault(fault));
+    nodes.values().forEach(node -> node.platformFaults().setFault(fault));
   }
 
   /**
-   * Gives the time.
+   * Returns the manual timers.
    *
-   * @return the timers that all nodes live by
+   * @return the clock and timers that all nodes share
    */
   public ManualTimers timers() {
     return timers;
   }
 
   /**
-   * Counts the messages between nodes.
+   * Returns the number of messages between nodes.
    *
-   * @return messages sent since the start
+   * @return the number of messages sent since the start
    */
   public long messageCount() {
     return links.sentCount();
   }
 
   /**
-   * Checks the platform's books.
+   * Audits the budgets and bills in the platform's table, bypassing all injected faults.
    *
    * @return the report
    */
@@ -304,19 +308,20 @@
     return new Auditor(table.withFaults(new FaultInjector(timers))).audit().join();
   }
 
-  /** One node's way to the platform. */
-  private record PlatformWay(Network network, Network.Place place, FaultInjector way) {
+  /** The access of one node to the platform. */
+  private record PlatformAccess(
+      Network network, Network.Location location, FaultInjector platformFaults) {
 
-    private boolean isOpen() {
-      return network.reaches(place, Network.Place.of(Network.PLATFORM));
+    private boolean isReachable() {
+      return network.reaches(location, Network.Location.of(Network.PLATFORM));
     }
 
     TableService table(FakeTable table, FaultInjector faults) {
-      return new CutTable(table.withFaults(faults), this::isOpen);
+      return new PartitionedTable(table.withFaults(faults), this::isReachable);
     }
 
     InstanceList list(FakeInstanceList instances) {
-      return new CutInstanceList(instances, this::isOpen);
+      return new PartitionedInstanceList(instances, this::isReachable);
     }
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/FleetNode.java
@@ -4,23 +4,23 @@
 import io.mothrill.core.node.Node;
 import io.mothrill.core.platform.InstanceRecord;
 
-/** One node of a fleet, with the switches of its process. */
+/** A node of a fleet, with control over its simulated process. */
 public final class FleetNode {
 
   private final InstanceRecord record;
   private final Node node;
   private final NodeClock clock;
-  private final FaultInjector platformWay;
+  private final FaultInjector platformFaults;
 
-  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultInjector platformWay) {
+  FleetNode(InstanceRecord record, Node node, NodeClock clock, FaultInjector platformFaults) {
     this.record = record;
     this.node = node;
     this.clock = clock;
-    this.platformWay = platformWay;
+    this.platformFaults = platformFaults;
   }
 
   /**
-   * Gives the instance's record.
+   * Returns the record of the instance.
    *
    * @return the record
    */
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Gives the decisions.
+   * Returns the node itself.
    *
    * @return the node
    */
@@ -38,40 +38,40 @@
   }
 
   /**
-   * Gives the faults of this node's way to the platform.
+   * Returns the faults that are injected between this node and the platform.
    *
    * @return the faults
    */
-  public FaultInjector platformWay() {
-    return platformWay;
+  public FaultInjector platformFaults() {
+    return platformFaults;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   public void kill() {
     clock.kill();
   }
 
-  /** Stops the process without ending it. */
-  public void freeze() {
-    clock.freeze();
+  /** Suspends the process, as SIGSTOP does. */
+  public void suspend() {
+    clock.suspend();
   }
 
-  /** Lets the process go on. */
-  public void thaw() {
-    clock.thaw();
+  /** Resumes the process. */
+  public void resume() {
+    clock.resume();
   }
 
   /**
-   * Says whether the process has ended.
+   * Checks whether the process was killed.
    *
    * @return true after {@link #kill}
    */
-  public boolean isDead() {
-    return clock.isDead();
+  public boolean isKilled() {
+    return clock.isKilled();
   }
 
-  Network.Place place() {
-    return Network.Place.of(record.id(), record.domain());
+  Network.Location location() {
+    return Network.Location.of(record.id(), record.domain());
   }
 
   NodeClock clock() {
--- a/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/fleet/MemoryUpstream.java
@@ -13,86 +13,86 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An upstream in memory: answers a call in steps, and counts how often each body was run. */
+/** An in-memory upstream that answers calls in several steps and counts the runs of each body. */
 public final class MemoryUpstream {
 
   private static final int STEPS = 4;
 
-  /** An upstream that ended is started again in this time. */
-  private static final long BACK_MS = 3_000;
+  /** The time after which a crashed upstream restarts. */
+  private static final long RESTART_MS = 3_000;
 
   private final Map<String, Integer> runsByBody = new HashMap<>();
   private final List<Run> running = new ArrayList<>();
   private long workMs = 200;
   private boolean down;
-  private boolean silent;
+  private boolean unresponsive;
   private boolean leaving;
-  private Optional<String> deadlyBody = Optional.empty();
+  private Optional<String> crashingBody = Optional.empty();
 
   /**
-   * Chooses how long a call takes.
+   * Sets the duration of a call.
    *
-   * @param newWorkMs milliseconds from the first byte of the call to the last of the answer
+   * @param newWorkMs the time from the start of the call to the end of the answer, in milliseconds
    */
-  public void work(long newWorkMs) {
+  public void setWorkMs(long newWorkMs) {
     workMs = newWorkMs;
   }
 
-  /** Stops: calls under way break, new ones cannot connect. */
+  /** Crashes: calls in flight fail and new connections are refused. */
   public void kill() {
     down = true;
     List.copyOf(running).forEach(run -> run.fail(Kind.BROKEN, "connection reset"));
   }
 
   /**
-   * Chooses a body under which the upstream ends whenever it begins to run it; it is back after
-   * some seconds.
+   * Sets a body that crashes the upstream whenever it runs it; the upstream restarts 3 seconds
+   * later.
    *
    * @param body the body
    */
-  public void endUnder(String body) {
-    deadlyBody = Optional.of(body);
+  public void crashOn(String body) {
+    crashingBody = Optional.of(body);
   }
 
   /**
-   * Says whether it refuses connections.
+   * Checks whether the upstream refuses connections.
    *
-   * @return true between its end and its next start
+   * @return true between a crash and the next restart
    */
   boolean isDown() {
     return down;
   }
 
-  /** Starts again. */
+  /** Restarts the upstream after a crash and makes it respond again. */
   public void restart() {
     down = false;
-    silent = false;
+    unresponsive = false;
   }
 
-  /** Falls silent: calls are run, but no answer comes back. */
-  public void fallSilent() {
-    silent = true;
+  /** Stops responding: calls are run, but no answer is sent. */
+  public void stopResponding() {
+    unresponsive = true;
   }
 
-  /** Refuses new calls as not run, because it is leaving. */
-  public void leave() {
+  /** Announces that it is leaving and refuses new calls as not run. */
+  public void startLeaving() {
     leaving = true;
   }
 
   /**
-   * Counts how often a body was run.
+   * Returns how often a body was run.
    *
    * @param body the body
-   * @return runs, whole or not
+   * @return the number of runs, including incomplete ones
    */
   public int runsOf(String body) {
     return runsByBody.getOrDefault(body, 0);
   }
 
   /**
-   * Counts the calls under way.
+   * Returns the number of calls in flight.
    *
-   * @return calls
+   * @return the number of calls
    */
   public int runningCount() {
     return running.size();
@@ -101,31 +101,31 @@
   UpstreamExchange start(UpstreamCall call, UpstreamListener listener, NodeClock clock) {
     Run run = new Run(call, listener, clock);
     if (down) {
-      run.later(() -> run.fail(Kind.NOT_SENT, "connection refused"), 1);
+      run.schedule(() -> run.fail(Kind.NOT_SENT, "connection refused"), 1);
     } else if (leaving) {
-      run.later(() -> run.fail(Kind.LEAVING, "leaving"), 1);
+      run.schedule(() -> run.fail(Kind.LEAVING, "leaving"), 1);
     } else {
       String body = new String(call.body().forUpstream(0), StandardCharsets.UTF_8);
       runsByBody.merge(body, 1, Integer::sum);
       running.add(run);
-      run.begin(body);
+      run.respond(body);
     }
     return run;
   }
 
-  /** Answers a call that the network does not carry. */
+  /** Fails a call to an upstream that the network does not reach. */
   static UpstreamExchange unreachable(
       UpstreamCall call, UpstreamListener listener, NodeClock clock) {
-    MemoryUpstream nowhere = new MemoryUpstream();
-    nowhere.down = true;
-    return nowhere.start(call, listener, clock);
+    MemoryUpstream downUpstream = new MemoryUpstream();
+    downUpstream.down = true;
+    return downUpstream.start(call, listener, clock);
   }
 
   private final class Run implements UpstreamExchange {
     private final UpstreamCall call;
     private final UpstreamListener listener;
     private final NodeClock clock;
-    private boolean over;
+    private boolean finished;
 
     Run(UpstreamCall call, UpstreamListener listener, NodeClock clock) {
       this.call = call;
@@ -133,47 +133,47 @@
       this.clock = clock;
     }
 
-    void later(Runnable step, long delayMs) {
+    void schedule(Runnable step, long delayMs) {
       clock.after(
           delayMs,
           () -> {
-            if (!over) {
+            if (!finished) {
               step.run();
             }
           });
     }
 
-    void begin(String body) {
-      if (deadlyBody.filter(body::equals).isPresent()) {
+    void respond(String body) {
+      if (crashingBody.filter(body::equals).isPresent()) {
         clock.after(workMs / STEPS, MemoryUpstream.this::kill);
-        clock.after(BACK_MS, MemoryUpstream.this::restart);
+        clock.after(RESTART_MS, MemoryUpstream.this::restart);
         return;
       }
-      later(() -> fail(Kind.BROKEN, "silent"), workMs + call.stallMs());
-      if (silent) {
+      schedule(() -> fail(Kind.BROKEN, "silent"), workMs + call.stallMs());
+      if (unresponsive) {
         return;
       }
       byte[] answer = ("answer to " + body).getBytes(StandardCharsets.UTF_8);
-      long tokens = Math.min(call.maxOutputTokens(), wantedTokens(body));
-      later(() -> listener.onHead(200, "text/plain"), workMs / STEPS);
-      later(() -> piece(answer, new Usage(10, tokens / 2)), workMs / 2);
-      later(() -> piece(new byte[0], new Usage(10, tokens)), workMs - 1);
-      later(this::end, workMs);
+      long tokens = Math.min(call.maxOutputTokens(), answerTokens(body));
+      schedule(() -> listener.onHead(200, "text/plain"), workMs / STEPS);
+      schedule(() -> emitChunk(answer, new Usage(10, tokens / 2)), workMs / 2);
+      schedule(() -> emitChunk(new byte[0], new Usage(10, tokens)), workMs - 1);
+      schedule(this::complete, workMs);
     }
 
-    private void piece(byte[] bytes, Usage usage) {
+    private void emitChunk(byte[] bytes, Usage usage) {
       listener.onChunk(bytes, usage);
     }
 
-    private void end() {
-      over = true;
+    private void complete() {
+      finished = true;
       running.remove(this);
       listener.onEnd();
     }
 
     void fail(Kind kind, String detail) {
-      if (!over) {
-        over = true;
+      if (!finished) {
+        finished = true;
         running.remove(this);
         clock.run(() -> listener.onFailure(new UpstreamFailure(kind, detail)));
       }
@@ -181,18 +181,18 @@
 
     @Override
     public void cancel() {
-      over = true;
+      finished = true;
       running.remove(this);
     }
 
     @Override
     public void setReading(boolean reading) {
-      // Answers are small here; nothing piles up.
+      // The answers are too small for backpressure to matter.
     }
   }
 
-  /** A body may say how long its answer is: {@code ... tokens=40}. */
-  private static long wantedTokens(String body) {
+  /** Returns the length of the answer, which a body may set: {@code ... tokens=40}. */
+  private static long answerTokens(String body) {
     int at = body.lastIndexOf("tokens=");
     return at < 0 ? Long.MAX_VALUE : Long.parseLong(body.substring(at + "tokens=".length()));
   }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/load/Schedule.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/load/OpenLoopSender.java
@@ -9,31 +9,31 @@
 import java.util.function.Supplier;
 
 /**
- * Sends calls on schedule, whether or not earlier ones were answered.
+ * Sends calls on a fixed schedule, whether or not earlier ones were answered (open loop).
  *
- * <p>Latencies count from the time that a call was due, so a stalled server cannot hide its queue
- * by slowing down the caller.
+ * <p>Latencies are measured from the scheduled start of a call, so that a stalled server cannot
+ * hide its queueing delay by slowing down the caller (coordinated omission).
  */
-public final class Schedule {
+public final class OpenLoopSender {
 
   private final CheckingCaller caller;
 
   /**
    * Creates the schedule.
    *
-   * @param caller sends the calls
+   * @param caller the caller that sends the calls
    */
-  public Schedule(CheckingCaller caller) {
+  public OpenLoopSender(CheckingCaller caller) {
     this.caller = caller;
   }
 
   /**
-   * Sends a number of calls at a steady pace, and waits for all answers.
+   * Sends calls at a constant rate and waits for all answers.
    *
-   * @param calls makes the call with a given number, from 0
-   * @param count how many calls
-   * @param perSecond the pace
-   * @param targets gives the instance for the next call
+   * @param calls creates the call with a given number, from 0
+   * @param count the number of calls
+   * @param perSecond the number of calls per second
+   * @param targets returns the address for the next call
    * @return the results, in the order of the calls
    */
   public List<CallResult> run(
@@ -42,23 +42,23 @@
   }
 
   /**
-   * Sends a number of calls at a steady pace.
+   * Sends calls at a constant rate.
    *
-   * @param calls makes the call with a given number, from 0
-   * @param count how many calls
-   * @param perSecond the pace
-   * @param targets gives the instance for the next call
-   * @return the results to come, in the order of the calls
+   * @param calls creates the call with a given number, from 0
+   * @param count the number of calls
+   * @param perSecond the number of calls per second
+   * @param targets returns the address for the next call
+   * @return the pending results, in the order of the calls
    */
   public List<CompletableFuture<CallResult>> start(
       IntFunction<Call> calls, int count, double perSecond, Supplier<Address> targets) {
     long startNanos = System.nanoTime();
-    double gapNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
+    double intervalNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
     List<CompletableFuture<CallResult>> results = new ArrayList<>(count);
     for (int number = 0; number < count; number++) {
-      long dueNanos = startNanos + (long) (number * gapNanos);
-      sleepUntil(dueNanos);
-      results.add(caller.send(targets.get(), calls.apply(number), dueNanos));
+      long scheduledNanos = startNanos + (long) (number * intervalNanos);
+      sleepUntil(scheduledNanos);
+      results.add(caller.send(targets.get(), calls.apply(number), scheduledNanos));
     }
     return results;
   }
@@ -66,18 +66,18 @@
   /**
    * Waits for results.
    *
-   * @param results the results to come
+   * @param results the pending results
    * @return the results
    */
   public static List<CallResult> join(List<CompletableFuture<CallResult>> results) {
     return results.stream().map(CompletableFuture::join).toList();
   }
 
-  private static void sleepUntil(long dueNanos) {
-    long leftNanos = dueNanos - System.nanoTime();
-    if (leftNanos > 0) {
+  private static void sleepUntil(long scheduledNanos) {
+    long remainingNanos = scheduledNanos - System.nanoTime();
+    if (remainingNanos > 0) {
       try {
-        TimeUnit.NANOSECONDS.sleep(leftNanos);
+        TimeUnit.NANOSECONDS.sleep(remainingNanos);
       } catch (InterruptedException ex) {
         Thread.currentThread().interrupt();
       }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/scenario/Calls.java
@@ -11,28 +11,28 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The calls that a scenario has made, by name. */
+/** The calls sent by a scenario, by name. */
 final class Calls {
 
   static final String SECRET = "secret";
 
-  private final Map<String, Made> made = new LinkedHashMap<>();
+  private final Map<String, SentCall> sentCalls = new LinkedHashMap<>();
 
-  /** A call that was made. */
-  record Made(String body, MemoryCaller caller) {}
+  /** A call that was sent. */
+  record SentCall(String body, MemoryCaller caller) {}
 
-  /** Makes the request of a step; calls with the same key have the same body. */
+  /** Creates the request of a step; calls with the same key have the same body. */
   static CallRequest request(Step step, String name) {
     String key = keyOf(step, name);
     String body = bodyOf(step, name);
-    boolean plain = step.has("plain");
+    boolean plain = step.hasWord("plain");
     return new CallRequest(
         step.option("team", "team") + "." + SECRET,
         plain ? ServiceType.PLAIN : ServiceType.MODEL,
         step.option("service"),
         key.isEmpty() ? Optional.empty() : Optional.of(key),
-        step.has("batch") ? Optional.of(Priority.BATCH) : Optional.empty(),
-        step.has("unrepeatable"),
+        step.hasWord("batch") ? Optional.of(Priority.BATCH) : Optional.empty(),
+        step.hasWord("unrepeatable"),
         Optional.ofNullable(step.options().get("budget")),
         step.number("prompt", 10),
         OptionalLong.of(step.number("cap", 90)),
@@ -46,9 +46,9 @@
         new byte[0]);
   }
 
-  /** A load that is {@code keyed} gives each of its calls a key of its own. */
+  /** Returns the idempotency key; each call of a {@code keyed} load has its own. */
   private static String keyOf(Step step, String name) {
-    return step.option("key", step.has("keyed") ? name : "");
+    return step.option("key", step.hasWord("keyed") ? name : "");
   }
 
   static String bodyOf(Step step, String name) {
@@ -57,17 +57,17 @@
   }
 
   void add(String name, String body, MemoryCaller caller) {
-    made.put(name, new Made(body, caller));
+    sentCalls.put(name, new SentCall(body, caller));
   }
 
-  Made find(Step step, String name) {
-    return Optional.ofNullable(made.get(name))
-        .orElseThrow(() -> step.wrong("there was no call named " + name));
+  SentCall find(Step step, String name) {
+    return Optional.ofNullable(sentCalls.get(name))
+        .orElseThrow(() -> step.invalid("there was no call named " + name));
   }
 
-  /** Finds all calls of a load: those whose names begin with the load's name and a dot. */
-  List<Made> ofLoad(String load) {
-    return made.entrySet().stream()
+  /** Returns the calls of a load: those whose names start with the load's name and a dot. */
+  List<SentCall> ofLoad(String load) {
+    return sentCalls.entrySet().stream()
         .filter(entry -> entry.getKey().startsWith(load + "."))
         .map(Map.Entry::getValue)
         .toList();
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/EngineFaults.java
@@ -2,56 +2,56 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What an engine stand-in does wrong. */
+/** Faults injected into an engine stand-in. */
 public final class EngineFaults {
 
-  private final AtomicInteger silentCalls = new AtomicInteger();
-  private final AtomicInteger crossedCalls = new AtomicInteger();
+  private final AtomicInteger stalledCalls = new AtomicInteger();
+  private final AtomicInteger misattributedCalls = new AtomicInteger();
   private final AtomicInteger extraTokens = new AtomicInteger();
   private volatile boolean leaving;
 
   /**
-   * Lets the next calls go unanswered, though their connections stay open.
+   * Leaves the next calls without a response while their connections stay open.
    *
-   * @param calls how many
+   * @param calls the number of calls
    */
-  public void fallSilent(int calls) {
-    silentCalls.set(calls);
+  public void stallNextCalls(int calls) {
+    stalledCalls.set(calls);
   }
 
   /**
-   * Answers the next calls under another request's id.
+   * Answers the next calls with the id of another request.
    *
-   * @param calls how many
+   * @param calls the number of calls
    */
-  public void crossAnswers(int calls) {
-    crossedCalls.set(calls);
+  public void misattributeNextAnswers(int calls) {
+    misattributedCalls.set(calls);
   }
 
   /**
-   * Lets answers be longer than their cap.
+   * Generates more tokens than a call's output limit allows.
    *
-   * @param tokens by how many tokens
+   * @param tokens the number of tokens beyond the limit
    */
-  public void exceedCap(int tokens) {
+  public void exceedOutputLimit(int tokens) {
     extraTokens.set(tokens);
   }
 
   /**
-   * Refuses new calls as not run, because the engine is leaving.
+   * Sets whether the engine announces that it is leaving and refuses new calls as not run.
    *
-   * @param now true from now on
+   * @param newLeaving true to refuse new calls
    */
-  public void leave(boolean now) {
-    leaving = now;
+  public void setLeaving(boolean newLeaving) {
+    leaving = newLeaving;
   }
 
-  boolean takeSilent() {
-    return take(silentCalls);
+  boolean consumeStall() {
+    return consume(stalledCalls);
   }
 
-  boolean takeCrossed() {
-    return take(crossedCalls);
+  boolean consumeMisattribution() {
+    return consume(misattributedCalls);
   }
 
   int extraTokens() {
@@ -62,7 +62,7 @@
     return leaving;
   }
 
-  private static boolean take(AtomicInteger left) {
-    return left.getAndUpdate(value -> Math.max(0, value - 1)) > 0;
+  private static boolean consume(AtomicInteger remaining) {
+    return remaining.getAndUpdate(value -> Math.max(0, value - 1)) > 0;
   }
 }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/PlatformServer.java
@@ -20,16 +20,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's services over HTTP: table, object store and instance list, each with faults.
+ * Serves a stand-in of the platform over HTTP: a table, an object store and an instance list, each
+ * with fault injection.
  *
- * <p>{@code POST /faults {"table": "DOWN"}} and {@code {"delayMs": 200}} set the faults.
+ * <p>{@code POST /faults} sets the faults, with a body such as {@code {"table": "DOWN"}} or {@code
+ * {"delayMs": 200}}.
  */
 public final class PlatformServer implements HttpService {
 
   private static final int OK = 200;
   private static final int NOT_FOUND = 404;
   private static final int UNAVAILABLE = 503;
-  private static final long FORGET_AFTER_MS = 10_000;
+  private static final long EXPIRY_MS = 10_000;
 
   private final FakeTable table;
   private final FakeObjectStore objects;
@@ -37,31 +39,31 @@
   private final HttpServer server;
 
   /**
-   * Starts the platform.
+   * Starts the server.
    *
    * @param group the event loops
-   * @param timers the time
-   * @param host an IP address
-   * @param port a TCP port; 0 for any
+   * @param timers the clock and timers
+   * @param host the IP address to listen on
+   * @param port the TCP port; 0 for any free port
    */
   public PlatformServer(EventLoopGroup group, Timers timers, String host, int port) {
     this.table = new FakeTable(timers);
     this.objects = new FakeObjectStore(timers);
-    this.instances = new FakeInstanceList(timers, FORGET_AFTER_MS);
+    this.instances = new FakeInstanceList(timers, EXPIRY_MS);
     this.server = HttpServer.ofService(group, host, port, this);
   }
 
   /**
-   * Gives the port.
+   * Returns the port on which the server listens.
    *
-   * @return the port that is listened on
+   * @return the TCP port
    */
   public int port() {
     return server.port();
   }
 
   /**
-   * Gives the table behind the server.
+   * Returns the table behind the server.
    *
    * @return the table
    */
@@ -145,13 +147,13 @@
   }
 
   private CompletableFuture<HttpReply> setFaults(JsonNode body) {
-    set(table.faults(), body, "table");
-    set(objects.faults(), body, "objects");
-    set(instances.faults(), body, "instances");
+    applyFault(table.faults(), body, "table");
+    applyFault(objects.faults(), body, "objects");
+    applyFault(instances.faults(), body, "instances");
     return CompletableFuture.completedFuture(HttpReply.json(OK, Json.object()));
   }
 
-  private static void set(FaultInjector faults, JsonNode body, String name) {
+  private static void applyFault(FaultInjector faults, JsonNode body, String name) {
     if (body.has(name)) {
       faults.setFault(Fault.valueOf(body.path(name).asText()));
     }
--- a/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
+++ b/mothrill-lab/src/main/java/io/mothrill/lab/standin/Sequence.java
@@ -1,6 +1,6 @@
 package io.mothrill.lab.standin;
 
-/** One call inside the engine stand-in. */
+/** The token generation of one call in the engine stand-in. */
 final class Sequence {
 
   private final String requestId;
@@ -20,12 +20,12 @@
     this.output = output;
   }
 
-  /** Where a sequence's tokens go. */
+  /** Receives the tokens of a sequence. */
   interface SequenceOutput {
 
-    void token(String text, int promptTokens, int emittedTokens);
+    void onToken(String text, int promptTokens, int emittedTokens);
 
-    void end(int promptTokens, int emittedTokens);
+    void onEnd(int promptTokens, int emittedTokens);
   }
 
   String requestId() {
@@ -52,7 +52,7 @@
     return maxTokens;
   }
 
-  /** Goes on behind a token that was sent before; the prompt is still cached. */
+  /** Resumes the sequence at a token index; the prompt is still in the prefix cache. */
   Sequence resumeAt(int token) {
     emitted = token;
     return this;
@@ -70,7 +70,7 @@
     prefillSteps = steps;
   }
 
-  /** Does one step and says whether the sequence goes on. */
+  /** Runs one step and returns whether the sequence continues. */
   boolean step() {
     if (cancelled) {
       return false;
@@ -81,11 +81,11 @@
     }
     String text = EngineText.token(prompt, emitted);
     emitted++;
-    output.token(text, promptTokens(), emitted);
+    output.onToken(text, promptTokens(), emitted);
     if (emitted < maxTokens) {
       return true;
     }
-    output.end(promptTokens(), emitted);
+    output.onEnd(promptTokens(), emitted);
     return false;
   }
 }
--- a/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
+++ b/mothrill-lab/src/test/java/io/mothrill/lab/fleet/CrashingCallTest.java
@@ -19,20 +19,19 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-// A call on mothrill's own interface ends each upstream that runs it, which is back after some
-// seconds. Its caller hears that the outcome is unknown and sends it again without a key, to
-// another instance. Each repeat is a call of its own, so as long as crashes were forgotten with the
-// call that saw them, 10 repeats ended 30 upstreams. They are kept under the call's fingerprint now
-// and told to the other instance.
+// Guards against a call that crashes every upstream that runs it. Its caller is told that the
+// outcome is unknown and retries without a key at another instance; each retry counts as a new
+// call. When crashes were recorded only per call, 10 retries crashed 30 upstreams. Crashes are
+// therefore recorded by the call's fingerprint and reported to the other instances.
 class CrashingCallTest {
 
-  private static final String DEADLY = "deadly";
+  private static final String CRASHING_BODY = "deadly";
   private static final int UPSTREAMS = 6;
   private static final int REPEATS = 10;
   private static final int CRASHES = 3;
 
-  /** An upstream that ended is back after this time, as is the caller. */
-  private static final long PAUSE_MS = 5_000;
+  /** After this time a crashed upstream has restarted and the caller retries. */
+  private static final long RETRY_PAUSE_MS = 5_000;
 
   private final Fleet fleet = new Fleet(NodeSettings.standard(), 1);
 
@@ -49,36 +48,37 @@
         .forEach(
             name -> {
               fleet.declare(name, new UpstreamSpec("asistan", name, 1, "konya", 32, false));
-              fleet.upstream(name).endUnder(DEADLY);
+              fleet.upstream(name).crashOn(CRASHING_BODY);
             });
     fleet.advanceMs(60_000);
   }
 
   private static CallRequest request() {
-    return PlainCalls.to("asistan", DEADLY);
+    return PlainCalls.to("asistan", CRASHING_BODY);
   }
 
   @Test
-  void isSentToNoUpstreamOnceThreeHaveEndedUnderIt() {
+  void isSentToNoUpstreamAfterThreeCrashes() {
     startFleet();
 
     for (int repeat = 0; repeat < REPEATS; repeat++) {
       fleet.call(repeat % 2 == 0 ? "konya-1" : "konya-2", request());
-      fleet.advanceMs(PAUSE_MS);
+      fleet.advanceMs(RETRY_PAUSE_MS);
     }
 
-    int runs = fleet.upstreams().stream().mapToInt(upstream -> upstream.runsOf(DEADLY)).sum();
+    int runs =
+        fleet.upstreams().stream().mapToInt(upstream -> upstream.runsOf(CRASHING_BODY)).sum();
     assertThat(runs).isEqualTo(CRASHES);
   }
 
-  // The third upstream has ended. The call comes to the instance that only heard of that; its
-  // caller is told at once that it has not run, and when it may come again.
+  // Three upstreams have crashed. The call arrives at the instance that knows this only from
+  // reports; its caller is told immediately that the call was not run and when to retry.
   @Test
-  void tellsItsCallerThatItHasNotRunAndWhenToComeBack() {
+  void isRefusedAsNotRunWithRetryAfter() {
     startFleet();
     for (int repeat = 0; repeat < CRASHES; repeat++) {
       fleet.call("konya-1", request());
-      fleet.advanceMs(PAUSE_MS);
+      fleet.advanceMs(RETRY_PAUSE_MS);
     }
 
     MemoryCaller caller = fleet.call("konya-2", request());
@@ -90,19 +90,19 @@
     assertThat(refusal.retryAfterMs()).isGreaterThan(0L);
   }
 
-  // Another call shares upstreams with the deadly one and loses them with it. It is none of its
-  // doing, so it is served as soon as an upstream bears it.
+  // Guards against blaming a call that was in flight at an upstream when another call crashed it:
+  // it is not quarantined and is served by the next upstream that stays up.
   @Test
-  void bystandersAreServed() {
+  void otherCallsInFlightAreServed() {
     startFleet();
     fleet.call("konya-1", request());
-    MemoryCaller bystander = fleet.call("konya-1", PlainCalls.to("asistan", "innocent"));
-    fleet.advanceMs(PAUSE_MS);
-    assertThat(bystander.refusal().map(Refusal::code))
+    MemoryCaller otherCall = fleet.call("konya-1", PlainCalls.to("asistan", "innocent"));
+    fleet.advanceMs(RETRY_PAUSE_MS);
+    assertThat(otherCall.refusal().map(Refusal::code))
         .isNotEqualTo(Optional.of("crashes_upstreams"));
 
     MemoryCaller again = fleet.call("konya-2", PlainCalls.to("asistan", "innocent"));
-    fleet.advanceMs(PAUSE_MS);
+    fleet.advanceMs(RETRY_PAUSE_MS);
 
     assertThat(again.refusal()).isEqualTo(Optional.empty());
   }
