--- a/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/BillForwarder.java
@@ -106,7 +106,7 @@
             timers.wallMs() + MESSAGE_VALIDITY_MS, bills.stream().map(PendingBill::line).toList());
     var unused =
         links
-            .ask(holder, message, ASK_TIMEOUT_MS)
+            .request(holder, message, ASK_TIMEOUT_MS)
             .thenAccept(reply -> onReply(bills, reply))
             .exceptionally(
                 error -> {
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Borrower.java
@@ -62,7 +62,7 @@
 
   private CompletableFuture<Result> ask(PendingLoan loan) {
     return links
-        .ask(loan.lender(), loan.request(), ASK_TIMEOUT_MS)
+        .request(loan.lender(), loan.request(), ASK_TIMEOUT_MS)
         .thenApply(reply -> acceptReply(loan, reply));
   }
 
@@ -77,7 +77,7 @@
     if (!reply.slices().isEmpty()) {
       return Result.ADDED;
     }
-    return reply.sure() ? Result.EMPTY : Result.UNREACHABLE;
+    return reply.conclusive() ? Result.EMPTY : Result.UNREACHABLE;
   }
 
   private static void addPool(PendingLoan loan, BorrowReply.Slice slice) {
@@ -105,7 +105,7 @@
             holder -> {
               var unused =
                   links
-                      .ask(holder, request, ASK_TIMEOUT_MS)
+                      .request(holder, request, ASK_TIMEOUT_MS)
                       .thenAccept(reply -> pendingReturns.remove(request.transferId()))
                       .exceptionally(error -> null);
             });
--- a/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/budget/Lender.java
@@ -77,7 +77,7 @@
    */
   private CompletableFuture<Boolean> ensureAvailable(BorrowRequest request) {
     BudgetAccount account = accounts.apply(request.budget());
-    if (!request.mayGrow() || account.availableTokens() >= request.needTokens()) {
+    if (!request.mayRefill() || account.availableTokens() >= request.needTokens()) {
       return CompletableFuture.completedFuture(true);
     }
     long wantedTokens = Math.max(request.needTokens(), request.wantedTokens());
--- a/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/fake/FaultInjector.java
@@ -55,7 +55,7 @@
     T value = effect.get();
     CompletableFuture<T> result = new CompletableFuture<>();
     if (now == Fault.ANSWER_LOST) {
-      result.completeExceptionally(PlatformException.answerLost(name));
+      result.completeExceptionally(PlatformException.responseLost(name));
     } else if (delayMs == 0) {
       result.complete(value);
     } else {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/spending/SpendingLoans.java
@@ -114,7 +114,7 @@
    * must be immediate.
    */
   private CompletableFuture<PeerMessage> lend(PeerMessage.BorrowRequest request) {
-    return request.mayGrow() ? lendWithRefill(request) : lendAvailable(request);
+    return request.mayRefill() ? lendWithRefill(request) : lendAvailable(request);
   }
 
   private CompletableFuture<PeerMessage> lendAvailable(PeerMessage.BorrowRequest request) {
@@ -334,14 +334,14 @@
       InstanceRecord lender, PeerMessage.BorrowRequest request) {
     CompletableFuture<LenderAnswer> answer = new CompletableFuture<>();
     timers.after(
-        request.mayGrow() ? REFILL_ANSWER_MS : ANSWER_MS,
+        request.mayRefill() ? REFILL_ANSWER_MS : ANSWER_MS,
         () -> {
           if (answer.complete(LenderAnswer.NONE)) {
             recordUnanswered(lender, request);
           }
         });
     links
-        .ask(lender, request, LATE_ANSWER_MS)
+        .request(lender, request, LATE_ANSWER_MS)
         .thenApply(reply -> acceptLoan(request, lender, reply))
         .exceptionally(
             error -> {
@@ -368,7 +368,7 @@
     }
     if (borrowReply.slices().isEmpty()) {
       shortages.onNothingLent(request.budget());
-      return new LenderAnswer(0, borrowReply.sure());
+      return new LenderAnswer(0, borrowReply.conclusive());
     }
     long tokens =
         borrowReply.slices().stream().mapToLong(PeerMessage.BorrowReply.Slice::tokens).sum();
@@ -380,7 +380,7 @@
       Logger.info(
           "tokens borrowed team={} tokens={} lender={}", request.budget(), tokens, lender.id());
     }
-    return new LenderAnswer(tokens, borrowReply.sure());
+    return new LenderAnswer(tokens, borrowReply.conclusive());
   }
 
   /**
@@ -421,7 +421,7 @@
     AllotmentId allotment = new AllotmentId(lender.incarnation(), team);
     var unused =
         links
-            .ask(
+            .request(
                 lender,
                 new PeerMessage.HandBack(nextTransferId(), allotment, tokens),
                 LATE_ANSWER_MS)
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/DomainReachability.java
@@ -191,7 +191,7 @@
 
   private CompletableFuture<Void> probe(InstanceRecord instance, String domain) {
     return links
-        .ask(instance, new PeerMessage.Heartbeat(self, 0), PROBE_TIMEOUT_MS)
+        .request(instance, new PeerMessage.Heartbeat(self, 0), PROBE_TIMEOUT_MS)
         .handle(
             (reply, error) -> {
               if (error == null || isRefusal(Failures.unwrap(error))) {
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/MembershipController.java
@@ -149,7 +149,7 @@
   private void sendHeartbeat(InstanceRecord peer) {
     var unused =
         links
-            .ask(peer, ownHeartbeat(), SECOND_MS)
+            .request(peer, ownHeartbeat(), SECOND_MS)
             .thenAccept(
                 reply -> {
                   if (reply instanceof Heartbeat heartbeat) {
@@ -211,7 +211,7 @@
 
   private CompletableFuture<List<Change>> changesOf(InstanceRecord peer, long after, int limit) {
     return links
-        .ask(peer, new ChangesRequest(after, limit), SECOND_MS)
+        .request(peer, new ChangesRequest(after, limit), SECOND_MS)
         .thenApply(reply -> reply instanceof ChangesReply changes ? changes.changes() : List.of());
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/PeerLinks.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/PeerLinks.java
@@ -14,5 +14,5 @@
    * @param timeoutMs the longest time to wait for the reply
    * @return the reply; fails with {@link io.mothrill.core.peer.error.PeerException}
    */
-  CompletableFuture<PeerMessage> ask(InstanceRecord peer, PeerMessage request, long timeoutMs);
+  CompletableFuture<PeerMessage> request(InstanceRecord peer, PeerMessage request, long timeoutMs);
 }
--- a/mothrill-core/src/main/java/io/mothrill/core/peer/PeerMessage.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/peer/PeerMessage.java
@@ -46,19 +46,19 @@
    * @param budget the budget's name
    * @param needTokens the smallest number of tokens that helps
    * @param wantedTokens the preferred number of tokens
-   * @param mayGrow whether the peer should request more from the platform when it has too few
+   * @param mayRefill whether the peer should request more from the platform when it has too few
    */
   record BorrowRequest(
-      String transferId, String budget, long needTokens, long wantedTokens, boolean mayGrow)
+      String transferId, String budget, long needTokens, long wantedTokens, boolean mayRefill)
       implements PeerMessage {}
 
   /**
    * Contains lent tokens, which the peer has removed from its pools.
    *
    * @param slices the tokens by allotment; empty when none are available
-   * @param sure false when the peer could not reach the platform to request more
+   * @param conclusive false when the peer could not reach the platform to request more
    */
-  record BorrowReply(List<Slice> slices, boolean sure) implements PeerMessage {
+  record BorrowReply(List<Slice> slices, boolean conclusive) implements PeerMessage {
 
     /**
      * Tokens of one allotment.
--- a/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/platform/error/PlatformException.java
@@ -39,7 +39,7 @@
    * @param detail the failed call, for the log
    * @return the exception
    */
-  public static PlatformException answerLost(String detail) {
+  public static PlatformException responseLost(String detail) {
     return new PlatformException("no answer from the platform: " + detail, Outcome.UNKNOWN);
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeAcquirer.java
@@ -109,7 +109,7 @@
     }
     FenceRange request = new FenceRange(range, state.epoch(), state.backup());
     return links
-        .ask(backup.get(), request, ASK_TIMEOUT_MS)
+        .request(backup.get(), request, ASK_TIMEOUT_MS)
         .handle(
             (reply, error) ->
                 reply instanceof FenceReply fenced
@@ -172,7 +172,7 @@
     }
     CopyRange copy = new CopyRange(range, next.epoch(), next.backup(), content.trimmed());
     return links
-        .ask(backup.get(), copy, ASK_TIMEOUT_MS)
+        .request(backup.get(), copy, ASK_TIMEOUT_MS)
         .handle((reply, error) -> reply instanceof PeerMessage.Done);
   }
 
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeCoordinator.java
@@ -155,7 +155,7 @@
             members.read().isSelf(candidate)
                 ? claimRunLocally(request)
                 : links
-                    .ask(candidate, request, ASK_TIMEOUT_MS)
+                    .request(candidate, request, ASK_TIMEOUT_MS)
                     .thenApply(reply -> reply instanceof ClaimReply claimReply ? claimReply : null),
         reply -> reply.verdict() != ClaimReply.Verdict.NOT_OWNER);
   }
@@ -172,7 +172,7 @@
           Optional.of(generatedKeyRuns.claimGenerated(request)));
     }
     return view.find(issuer)
-        .map(candidate -> links.ask(candidate, request, ASK_TIMEOUT_MS))
+        .map(candidate -> links.request(candidate, request, ASK_TIMEOUT_MS))
         .orElseGet(() -> CompletableFuture.completedFuture(unknown))
         .handle((reply, error) -> reply instanceof ClaimReply claimReply ? claimReply : unknown)
         .thenApply(Optional::of);
@@ -226,7 +226,7 @@
                 members.read().isSelf(candidate)
                     ? finishLocally(request)
                     : links
-                        .ask(candidate, request, ASK_TIMEOUT_MS)
+                        .request(candidate, request, ASK_TIMEOUT_MS)
                         .thenApply(
                             reply ->
                                 reply instanceof FinishReply finishReply
@@ -255,7 +255,7 @@
                 members.read().isSelf(candidate)
                     ? claimSoleLocally(claim)
                     : links
-                        .ask(candidate, new PeerMessage.SoleRequest(claim), ASK_TIMEOUT_MS)
+                        .request(candidate, new PeerMessage.SoleRequest(claim), ASK_TIMEOUT_MS)
                         .thenApply(
                             reply ->
                                 reply instanceof SoleReply soleReply ? soleReply.outcome() : null),
@@ -288,7 +288,7 @@
                 localAction.run();
               } else {
                 var unused =
-                    links.ask(candidate, message, ASK_TIMEOUT_MS).exceptionally(error -> null);
+                    links.request(candidate, message, ASK_TIMEOUT_MS).exceptionally(error -> null);
               }
             });
   }
@@ -324,7 +324,7 @@
                       .toList();
               var unused =
                   links
-                      .ask(candidate, new PeerMessage.BillsPosted(ownedKeys), ASK_TIMEOUT_MS)
+                      .request(candidate, new PeerMessage.BillsPosted(ownedKeys), ASK_TIMEOUT_MS)
                       .exceptionally(error -> null);
             });
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/range/RangeOwner.java
@@ -134,7 +134,7 @@
     }
     CopyRange copy = new CopyRange(range.name(), state.epoch(), state.backup(), content);
     return links
-        .ask(backup.get(), copy, ASK_TIMEOUT_MS)
+        .request(backup.get(), copy, ASK_TIMEOUT_MS)
         .handle(
             (reply, error) -> {
               if (reply instanceof PeerMessage.Refused) {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/PendingAnswers.java
@@ -85,7 +85,7 @@
       return answerOf(key);
     }
     return view.find(runner)
-        .map(peer -> links.ask(peer, new AnswerRequest(key), ANSWER_TIMEOUT_MS))
+        .map(peer -> links.request(peer, new AnswerRequest(key), ANSWER_TIMEOUT_MS))
         .orElseGet(() -> CompletableFuture.failedFuture(new IllegalStateException("runner gone")))
         .thenCompose(
             message -> {
--- a/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/request/RequestRecords.java
@@ -268,7 +268,7 @@
             peer -> {
               var unused =
                   links
-                      .ask(peer, new KeepCopy(ended.finish().withoutAnswer()), ASK_TIMEOUT_MS)
+                      .request(peer, new KeepCopy(ended.finish().withoutAnswer()), ASK_TIMEOUT_MS)
                       .thenAccept(reply -> recordCopyHolder(ended, peer))
                       .exceptionally(error -> null);
             });
@@ -339,7 +339,7 @@
             (copyHolder, keys) -> {
               var unused =
                   links
-                      .ask(copyHolder, new BillsPosted(keys), ASK_TIMEOUT_MS)
+                      .request(copyHolder, new BillsPosted(keys), ASK_TIMEOUT_MS)
                       .exceptionally(error -> null);
             });
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -349,7 +349,7 @@
           });
       if (lost) {
         instance.after(
-            1_000, () -> answer.completeExceptionally(PlatformException.answerLost("table")));
+            1_000, () -> answer.completeExceptionally(PlatformException.responseLost("table")));
       }
       return answer;
     }
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardInstance.java
@@ -268,7 +268,7 @@
    *
    * @return a future that completes when the process may exit
    */
-  public CompletableFuture<Void> leave() {
+  public CompletableFuture<Void> drain() {
     if (!leaving) {
       leaving = true;
       Logger.info("leaving underWay={}", edge.inFlightCount());
@@ -286,7 +286,7 @@
       edge.refuseNew();
     }
     boolean idle = sinceMs >= MIN_DRAIN_MS && edge.inFlightCount() == 0;
-    if (sinceMs < settings.leaveMs() && !idle) {
+    if (sinceMs < settings.drainTimeoutMs() && !idle) {
       return;
     }
     check.cancel();
--- a/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
+++ b/mothrill-daemon/src/main/java/io/mothrill/daemon/forward/ForwardSettings.java
@@ -22,7 +22,7 @@
  * @param view how plan and upstreams are polled
  * @param retries the limits of retries
  * @param warmUp how far the load on warming upstreams may exceed their capacity
- * @param leaveMs how long requests may continue after the termination signal
+ * @param drainTimeoutMs how long requests may continue after the termination signal
  */
 public record ForwardSettings(
     String id,
@@ -38,7 +38,7 @@
     ViewSettings view,
     RetryBounds retries,
     WarmUpBounds warmUp,
-    long leaveMs) {
+    long drainTimeoutMs) {
 
   /** Copies the regions. */
   public ForwardSettings {
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/NettyPeers.java
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public CompletableFuture<PeerMessage> ask(
+  public CompletableFuture<PeerMessage> request(
       InstanceRecord peer, PeerMessage request, long timeoutMs) {
     Address to = new Address(peer.host(), peer.peerPort());
     long id = nextId.incrementAndGet();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/peer/PeerEncoder.java
@@ -66,9 +66,9 @@
           .setBudget(request.budget())
           .setNeedTokens(request.needTokens())
           .setWantedTokens(request.wantedTokens())
-          .setMayGrow(request.mayGrow());
+          .setMayGrow(request.mayRefill());
     } else if (message instanceof PeerMessage.BorrowReply reply) {
-      var builder = envelope.getBorrowReplyBuilder().setSure(reply.sure());
+      var builder = envelope.getBorrowReplyBuilder().setSure(reply.conclusive());
       reply
           .slices()
           .forEach(
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformClient.java
@@ -39,7 +39,7 @@
 
   private static HttpReply checked(String path, HttpReply reply) {
     if (!reply.isSuccess() && reply.status() != 404) {
-      throw PlatformException.answerLost(path + " answered status " + reply.status());
+      throw PlatformException.responseLost(path + " answered status " + reply.status());
     }
     return reply;
   }
--- a/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/platform/PlatformErrorMapper.java
@@ -28,7 +28,7 @@
     }
     String detail = path + ": " + broken.getMessage();
     return broken.isSent()
-        ? PlatformException.answerLost(detail)
+        ? PlatformException.responseLost(detail)
         : PlatformException.unreachable(detail);
   }
 }
