--- a/mothrill-core/src/main/java/io/mothrill/core/forward/check/RegionCheck.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/check/RegionCheck.java
@@ -25,7 +25,7 @@
 
   @Override
   public Optional<Rejection> check(RegisteredUpstream upstream, UpstreamQuery query, long nowMs) {
-    return query.allowedRegions().allows(regionByDomain.getOrDefault(upstream.domain(), ""))
+    return query.regionRestriction().allows(regionByDomain.getOrDefault(upstream.domain(), ""))
         ? Optional.empty()
         : Optional.of(new Rejection(Cause.OUTSIDE_HOME, RETRY_MS));
   }
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/plan/AllowedRegions.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/plan/RegionRestriction.java
@@ -6,29 +6,29 @@
 import java.util.Set;
 
 /**
- * The regions in which requests may be processed.
+ * Restricts requests to regions in which they may be processed.
  *
  * <pre>{@code
- * AllowedRegions both = route.allowedRegions().intersect(team.allowedRegions());
+ * RegionRestriction both = route.regionRestriction().intersect(team.regionRestriction());
  * boolean allowed = both.allows("anadolu");
  * }</pre>
  */
-public final class AllowedRegions {
+public final class RegionRestriction {
 
-  private static final AllowedRegions UNRESTRICTED = new AllowedRegions(Optional.empty());
+  private static final RegionRestriction UNRESTRICTED = new RegionRestriction(Optional.empty());
 
   private final Optional<Set<String>> regions;
 
-  private AllowedRegions(Optional<Set<String>> regions) {
+  private RegionRestriction(Optional<Set<String>> regions) {
     this.regions = regions;
   }
 
   /**
-   * Returns regions without a restriction.
+   * Returns the restriction that allows every region.
    *
-   * @return an instance that allows every region
+   * @return no restriction
    */
-  public static AllowedRegions unrestricted() {
+  public static RegionRestriction unrestricted() {
     return UNRESTRICTED;
   }
 
@@ -36,10 +36,10 @@
    * Creates a restriction to some regions.
    *
    * @param regions the names of the regions; if empty, no region is allowed
-   * @return the allowed regions
+   * @return the restriction
    */
-  public static AllowedRegions of(Collection<String> regions) {
-    return new AllowedRegions(Optional.of(Set.copyOf(regions)));
+  public static RegionRestriction of(Collection<String> regions) {
+    return new RegionRestriction(Optional.of(Set.copyOf(regions)));
   }
 
   /**
@@ -48,7 +48,7 @@
    * @param other the other regions
    * @return the intersection
    */
-  public AllowedRegions intersect(AllowedRegions other) {
+  public RegionRestriction intersect(RegionRestriction other) {
     if (regions.isEmpty()) {
       return other;
     }
@@ -72,7 +72,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof AllowedRegions allowed && allowed.regions.equals(regions);
+    return other instanceof RegionRestriction restriction && restriction.regions.equals(regions);
   }
 
   @Override
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/plan/Route.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/plan/Route.java
@@ -14,7 +14,7 @@
  * @param targetLatencyMs the target time to the answer, or to the first event of a stream
  * @param priority the priority; 0 is the most urgent
  * @param maxAttempts the maximum number of upstreams at which one request may run
- * @param allowedRegions the regions in which its requests may be processed
+ * @param regionRestriction the regions in which its requests may be processed
  * @param isPublic true if callers need no key
  */
 public record Route(
@@ -27,7 +27,7 @@
     long targetLatencyMs,
     int priority,
     int maxAttempts,
-    AllowedRegions allowedRegions,
+    RegionRestriction regionRestriction,
     boolean isPublic) {
 
   /** Copies the targets. */
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/plan/TeamPlan.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/plan/TeamPlan.java
@@ -11,14 +11,14 @@
  * @param keys the keys of its callers
  * @param priority the priority, which overrides that of the route; absent to use the route's
  * @param prepaidTokens the total number of tokens it may spend; absent if unlimited
- * @param allowedRegions the regions in which its requests may be processed
+ * @param regionRestriction the regions in which its requests may be processed
  */
 public record TeamPlan(
     String name,
     List<String> keys,
     OptionalInt priority,
     OptionalLong prepaidTokens,
-    AllowedRegions allowedRegions) {
+    RegionRestriction regionRestriction) {
 
   /** Copies the keys. */
   public TeamPlan {
--- a/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
+++ b/mothrill-core/src/main/java/io/mothrill/core/forward/upstream/UpstreamQuery.java
@@ -1,6 +1,6 @@
 package io.mothrill.core.forward.upstream;
 
-import io.mothrill.core.forward.plan.AllowedRegions;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.forward.request.Prompt;
 import java.util.Optional;
 import java.util.Set;
@@ -12,7 +12,7 @@
  * @param service the target service
  * @param targetLatencyMs the target time to the answer, or to the first event of a stream
  * @param prompt the properties of its prompt; empty for plain requests
- * @param allowedRegions the regions in which it may be processed
+ * @param regionRestriction the regions in which it may be processed
  * @param tried the incarnations of upstreams already tried
  * @param eligibility the state of the request that determines whether it may still be sent
  */
@@ -20,7 +20,7 @@
     String service,
     long targetLatencyMs,
     Optional<Prompt> prompt,
-    AllowedRegions allowedRegions,
+    RegionRestriction regionRestriction,
     Set<String> tried,
     Eligibility eligibility) {
 
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/check/SendChecksTest.java
@@ -7,7 +7,7 @@
 import io.mothrill.core.forward.limit.AnnouncedRateLimits;
 import io.mothrill.core.forward.permit.FleetView;
 import io.mothrill.core.forward.permit.SendPermits;
-import io.mothrill.core.forward.plan.AllowedRegions;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.forward.plan.WarmUpPlan;
 import io.mothrill.core.forward.request.ForwardRefusal.Cause;
 import io.mothrill.core.forward.upstream.LeavingUpstreams;
@@ -94,12 +94,13 @@
     return upstream;
   }
 
-  private static UpstreamQuery query(AllowedRegions allowedRegions, Eligibility eligibility) {
-    return new UpstreamQuery(SERVICE, 800, Optional.empty(), allowedRegions, Set.of(), eligibility);
+  private static UpstreamQuery query(RegionRestriction regionRestriction, Eligibility eligibility) {
+    return new UpstreamQuery(
+        SERVICE, 800, Optional.empty(), regionRestriction, Set.of(), eligibility);
   }
 
   private static UpstreamQuery unrestricted() {
-    return query(AllowedRegions.unrestricted(), Eligibility.unrestricted());
+    return query(RegionRestriction.unrestricted(), Eligibility.unrestricted());
   }
 
   private void assertRefused(RegisteredUpstream upstream, UpstreamQuery query, Cause cause) {
@@ -114,8 +115,8 @@
   }
 
   @Test
-  void rejectsRequestOutsideItsAllowedRegions() {
-    UpstreamQuery bound = query(AllowedRegions.of(List.of("ege")), Eligibility.unrestricted());
+  void rejectsRequestOutsideItsRegions() {
+    UpstreamQuery bound = query(RegionRestriction.of(List.of("ege")), Eligibility.unrestricted());
 
     assertRefused(register("konya"), bound, Cause.OUTSIDE_HOME);
     assertThat(checks.admit(register("izmir"), bound)).isTrue();
@@ -125,14 +126,14 @@
   void domainOfUnknownRegionIsNotAllowed() {
     assertRefused(
         register("atlantis"),
-        query(AllowedRegions.of(List.of("ege")), Eligibility.unrestricted()),
+        query(RegionRestriction.of(List.of("ege")), Eligibility.unrestricted()),
         Cause.OUTSIDE_HOME);
   }
 
   @Test
   void routeAndTeamWithoutCommonRegionAllowNone() {
-    AllowedRegions none =
-        AllowedRegions.of(List.of("ege")).intersect(AllowedRegions.of(List.of("anadolu")));
+    RegionRestriction none =
+        RegionRestriction.of(List.of("ege")).intersect(RegionRestriction.of(List.of("anadolu")));
 
     assertRefused(register("izmir"), query(none, Eligibility.unrestricted()), Cause.OUTSIDE_HOME);
   }
@@ -206,7 +207,7 @@
     Eligibility unpaid = new Eligibility(Long.MAX_VALUE, false, () -> false);
 
     assertRefused(
-        register("konya"), query(AllowedRegions.unrestricted(), unpaid), Cause.TOKENS_ELSEWHERE);
+        register("konya"), query(RegionRestriction.unrestricted(), unpaid), Cause.TOKENS_ELSEWHERE);
   }
 
   @Test
@@ -214,7 +215,9 @@
     Eligibility deadly = new Eligibility(Long.MAX_VALUE, true, () -> true);
 
     assertRefused(
-        register("konya"), query(AllowedRegions.unrestricted(), deadly), Cause.CRASHES_UPSTREAMS);
+        register("konya"),
+        query(RegionRestriction.unrestricted(), deadly),
+        Cause.CRASHES_UPSTREAMS);
   }
 
   @Test
@@ -222,7 +225,7 @@
     Eligibility late = new Eligibility(timers.nowMs() + 19, true, () -> false);
 
     assertRefused(
-        register("konya"), query(AllowedRegions.unrestricted(), late), Cause.NOT_SENT_IN_TIME);
+        register("konya"), query(RegionRestriction.unrestricted(), late), Cause.NOT_SENT_IN_TIME);
   }
 
   // One failure domain is evacuated and the upstream of the other is warming up. The caller is told
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/plan/ForwardingPlanRoutesTest.java
@@ -20,7 +20,7 @@
         300,
         1,
         2,
-        AllowedRegions.unrestricted(),
+        RegionRestriction.unrestricted(),
         false);
   }
 
@@ -38,7 +38,7 @@
                   List.of("a", "b"),
                   OptionalInt.empty(),
                   OptionalLong.empty(),
-                  AllowedRegions.unrestricted())),
+                  RegionRestriction.unrestricted())),
           CallerBounds.standard());
 
   private String nameFor(String path) {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/spending/SpendingSimulation.java
@@ -3,9 +3,9 @@
 import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.FakeTable;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.plan.AllowedRegions;
 import io.mothrill.core.forward.plan.CallerBounds;
 import io.mothrill.core.forward.plan.ForwardingPlan;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.peer.PeerDispatcher;
 import io.mothrill.core.peer.PeerMessage;
@@ -108,7 +108,7 @@
         List.of("key of " + name),
         OptionalInt.empty(),
         OptionalLong.of(prepaidTokens + firstTokens.get(name)),
-        AllowedRegions.unrestricted());
+        RegionRestriction.unrestricted());
   }
 
   long prepaidTokens() {
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamPickerTest.java
@@ -4,7 +4,7 @@
 
 import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.plan.AllowedRegions;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.forward.request.Prompt;
 import java.util.HashSet;
 import java.util.List;
@@ -72,7 +72,7 @@
         SERVICE,
         TARGET_LATENCY_MS,
         prompt,
-        AllowedRegions.unrestricted(),
+        RegionRestriction.unrestricted(),
         tried,
         UpstreamQuery.Eligibility.unrestricted());
   }
--- a/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
+++ b/mothrill-core/src/test/java/io/mothrill/core/forward/upstream/UpstreamStatusBroadcastTest.java
@@ -4,7 +4,7 @@
 
 import io.mothrill.core.board.PublishedValue;
 import io.mothrill.core.fake.ManualTimers;
-import io.mothrill.core.forward.plan.AllowedRegions;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.platform.InstanceRecord;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -114,7 +114,7 @@
                   SERVICE,
                   800,
                   Optional.empty(),
-                  AllowedRegions.unrestricted(),
+                  RegionRestriction.unrestricted(),
                   Set.of(),
                   UpstreamQuery.Eligibility.unrestricted()))
           .orElseThrow();
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/AdmittedRequest.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/AdmittedRequest.java
@@ -1,6 +1,6 @@
 package io.mothrill.wire.forward;
 
-import io.mothrill.core.forward.plan.AllowedRegions;
+import io.mothrill.core.forward.plan.RegionRestriction;
 import io.mothrill.core.forward.plan.Route;
 import io.mothrill.core.forward.plan.TeamPlan;
 import io.mothrill.core.forward.request.Fingerprint;
@@ -28,10 +28,10 @@
   }
 
   /** Returns the regions that both the route and the team allow. */
-  AllowedRegions allowedRegions() {
-    return team.map(TeamPlan::allowedRegions)
-        .orElse(AllowedRegions.unrestricted())
-        .intersect(route.allowedRegions());
+  RegionRestriction regionRestriction() {
+    return team.map(TeamPlan::regionRestriction)
+        .orElse(RegionRestriction.unrestricted())
+        .intersect(route.regionRestriction());
   }
 
   /**
--- a/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
+++ b/mothrill-wire/src/main/java/io/mothrill/wire/forward/ForwardExchange.java
@@ -226,7 +226,7 @@
         admitted.service(),
         admitted.route().targetLatencyMs(),
         received.call().prompt(),
-        admitted.allowedRegions(),
+        admitted.regionRestriction(),
         triedIncarnations,
         new Eligibility(
             admitted.deadlineMs(), !needsTokens() || reserved, requestCrashGuard::isQuarantined));
